--- a/src/marjoramwharf/contracts/_claim_writer.py
+++ b/src/marjoramwharf/contracts/_claim_writer.py
@@ -14,11 +14,11 @@
 from marjoramwharf.contracts._claim_lease import BucketLease
 from marjoramwharf.contracts.claim_values import (
     Claim,
+    ClaimExists,
+    ClaimHeld,
     ClaimOutcome,
     ClaimRecord,
-    Found,
-    Gone,
-    Held,
+    ClaimWithdrawn,
     decode_claim,
 )
 from marjoramwharf.errors import Failure, StoreAnswerLost, StoreUnavailable
@@ -76,7 +76,7 @@
         self._drained = trio.Event()
         self._drained.set()
 
-    async def drained(self) -> None:
+    async def wait_until_drained(self) -> None:
         """Wait until nothing is queued."""
         await self._drained.wait()
 
@@ -209,13 +209,13 @@
 
 def _written(pending: PendingWrite, revision: int) -> ClaimOutcome:
     if pending.record is None:
-        return Gone()
-    return Held(Claim(pending.key, pending.record, revision))
+        return ClaimWithdrawn()
+    return ClaimHeld(Claim(pending.key, pending.record, revision))
 
 
 def _seen(pending: PendingWrite, found: Claim | None) -> ClaimOutcome:
     if found is None:
-        return Gone()
+        return ClaimWithdrawn()
     if pending.record and found.record.writer == pending.record.writer:
-        return Held(found)
-    return Found(found)
+        return ClaimHeld(found)
+    return ClaimExists(found)
--- a/src/marjoramwharf/contracts/_note_acceptance.py
+++ b/src/marjoramwharf/contracts/_note_acceptance.py
@@ -9,7 +9,7 @@
 from marjoramwharf.contracts import _note_records as records
 from marjoramwharf.contracts.configuration import (
     Configuration,
-    ProblemsFound,
+    IncompatibleNote,
     apply_note,
 )
 from marjoramwharf.contracts.note_answers import (
@@ -42,7 +42,7 @@
 _BACKOFF_S = 0.05
 
 
-class Acceptance:
+class NoteAcceptor:
     """Accepts notes; ``observe`` is called with each head that it sees.
 
     A head older than ``known_revision()`` is a stale read.
@@ -153,7 +153,7 @@
     ) -> Answer | None:
         try:
             after = apply_note(head.configuration, note)
-        except ProblemsFound as failure:
+        except IncompatibleNote as failure:
             return NoteRefused(
                 Reason.BAD_REQUEST,
                 failure.message,
--- a/src/marjoramwharf/contracts/desk.py
+++ b/src/marjoramwharf/contracts/allocator.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TypeAlias
 
-from marjoramwharf.contracts.ledger import WorkerLedger, worker_of
+from marjoramwharf.contracts.ledger import WorkerLedger, worker_id_of
 from marjoramwharf.contracts.permits import Grant, GrantShare
 from marjoramwharf.contracts.reservations import AttemptKey, Fence
 from marjoramwharf.errors import PeerRefused
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placement:
+class AttemptRequest:
     """What a job owner asks for when it reserves.
 
     ``fence`` is the epoch of the job shard and the number of the attempt.
@@ -47,7 +47,7 @@
 
 Ledgers: TypeAlias = Mapping[WorkerId, WorkerLedger]
 Chooser: TypeAlias = Callable[
-    [Ledgers, Placement, float],
+    [Ledgers, AttemptRequest, float],
     WorkerLedger | None,
 ]
 
@@ -58,33 +58,37 @@
 
 def choose_most_free(
     ledgers: Ledgers,
-    placement: Placement,
+    placement: AttemptRequest,
     now_s: float,
 ) -> WorkerLedger | None:
     """Return the ledger with most free processors; looks at all of them."""
     return max(
-        (one for one in ledgers.values() if has_room(one, placement, now_s)),
+        (
+            one
+            for one in ledgers.values()
+            if has_capacity(one, placement, now_s)
+        ),
         key=lambda ledger: ledger.reservations.free.cpu_millicores,
         default=None,
     )
 
 
-def has_room(
+def has_capacity(
     ledger: WorkerLedger,
-    placement: Placement,
+    placement: AttemptRequest,
     now_s: float,
 ) -> bool:
     """Tell whether a worker may take a task attempt now."""
     worker = ledger.worker
     return (
-        ledger.is_current(now_s)
+        ledger.accepts_work(now_s)
         and worker.rack not in placement.avoid_racks
         and worker.worker_id not in placement.avoid_workers
-        and ledger.reservations.has_room(placement.demand)
+        and ledger.reservations.has_capacity(placement.demand)
     )
 
 
-class OwnerDesk:
+class CapacityAllocator:
     """The ledgers of the owned workers.
 
     ``choose`` picks a ledger for a task, ``None`` if it finds none.
@@ -95,7 +99,7 @@
         self.ledgers: dict[WorkerId, WorkerLedger] = {}
         self.choose = choose
         # A repeat of Reserve must return the same worker.
-        self._placed: dict[AttemptKey, tuple[WorkerId, Placement]] = {}
+        self._placed: dict[AttemptKey, tuple[WorkerId, AttemptRequest]] = {}
         self.on_released: Callable[[WorkerId, AttemptKey], None] = _ignore
 
     def lend(
@@ -109,7 +113,7 @@
         grants = []
         for worker_id, slots_count in wants:
             ledger = self.ledgers.get(worker_id)
-            if ledger is None or not ledger.is_current(now_s):
+            if ledger is None or not ledger.accepts_work(now_s):
                 continue
             lent = ledger.lend(
                 borrower,
@@ -137,7 +141,7 @@
             (worker_id, ledger.free_slots_count)
             for worker_id, ledger in self.ledgers.items()
             if service in ledger.worker.services
-            and ledger.is_current(now_s)
+            and ledger.accepts_work(now_s)
             and worker_id not in excluded
         ]
         free.sort(key=operator.itemgetter(1), reverse=True)
@@ -159,9 +163,9 @@
         renewed: list[Grant] = []
         refused: list[GrantId] = []
         for grant_id in grant_ids:
-            ledger = self.ledgers.get(worker_of(grant_id))
+            ledger = self.ledgers.get(worker_id_of(grant_id))
             outcome = None
-            if ledger is not None and ledger.is_current(now_s):
+            if ledger is not None and ledger.accepts_work(now_s):
                 outcome = ledger.renew(borrower, grant_id)
             if isinstance(outcome, Grant):
                 renewed.append(outcome)
@@ -176,11 +180,11 @@
     ) -> None:
         """Free returned slots."""
         for share in shares:
-            ledger = self.ledgers.get(worker_of(share.grant_id))
+            ledger = self.ledgers.get(worker_id_of(share.grant_id))
             if ledger is not None:
                 ledger.give_back(borrower, share.grant_id, share.slots_count)
 
-    def reserve(self, placement: Placement, now_s: float) -> WorkerLedger:
+    def reserve(self, placement: AttemptRequest, now_s: float) -> WorkerLedger:
         """Reserve for a task attempt; a repeat returns the same worker.
 
         Raises ``PeerRefused`` if the task fits on no owned worker.
@@ -190,7 +194,7 @@
         if holder is not None:
             return holder
         chosen = self.choose(self.ledgers, placement, now_s)
-        if chosen is None or not has_room(chosen, placement, now_s):
+        if chosen is None or not has_capacity(chosen, placement, now_s):
             raise PeerRefused(message='no worker has room', retry_after_s=1)
         chosen.reservations.reserve(*attempt, placement.demand, now_s)
         self._placed[attempt] = (chosen.worker.worker_id, placement)
@@ -224,7 +228,7 @@
             if self._holder_of(attempt) is None:
                 self._placed.pop(attempt)
 
-    def placement_of(self, attempt: AttemptKey) -> Placement | None:
+    def request_of(self, attempt: AttemptKey) -> AttemptRequest | None:
         """Return what was asked for an attempt that is reserved here."""
         placed = self._placed.get(attempt)
         return None if placed is None else placed[1]
@@ -237,7 +241,7 @@
         return ledger
 
 
-def reservation_id(placement: Placement, worker_id: WorkerId) -> str:
+def reservation_id(placement: AttemptRequest, worker_id: WorkerId) -> str:
     """Return the id that ``release`` takes; ids of tasks have no ``@``."""
     epoch, number = placement.fence
     parts = (f'{epoch}.{number}', placement.task_id, worker_id)
--- a/src/marjoramwharf/contracts/borrowing.py
+++ b/src/marjoramwharf/contracts/borrowing.py
@@ -15,10 +15,10 @@
 
 import trio
 
-from marjoramwharf.contracts.desk import OwnerDesk
-from marjoramwharf.contracts.ledger import worker_of
+from marjoramwharf.contracts.allocator import CapacityAllocator
+from marjoramwharf.contracts.ledger import worker_id_of
+from marjoramwharf.contracts.permit_pool import PermitPool
 from marjoramwharf.contracts.permits import Grant, GrantShare
-from marjoramwharf.contracts.wallet import Wallet
 from marjoramwharf.errors import PeerRefused, PeerUnreachable
 from marjoramwharf.ids import EntryId, Epoch, GrantId, ServiceId, WorkerId
 from marjoramwharf.links.peer_messages import Message, PeerIdentity
@@ -60,8 +60,8 @@
     def __init__(
         self,
         identity: PeerIdentity,
-        wallet: Wallet,
-        desk: OwnerDesk,
+        permit_pool: PermitPool,
+        allocator: CapacityAllocator,
         *,
         peers: Callable[[], Mapping[EntryId, PeerCaller]],
         now: Callable[[], float],
@@ -71,57 +71,59 @@
         self.close_connections: Callable[[WorkerId], Awaitable[None]]
         self.close_connections = _nothing_open
         self._identity = identity
-        self._wallet = wallet
-        self._desk = desk
+        self._permit_pool = permit_pool
+        self._allocator = allocator
         self._peers = peers
         self._now = now
         self._summaries: dict[EntryId, Sequence[Message]] = {}
         self._turns = itertools.count()
 
-    def summary_received(self, sender: EntryId, message: Message) -> None:
+    def record_summary(self, sender: EntryId, message: Message) -> None:
         """Keep a peer's free slots, and drop grants of leaving workers."""
         self._summaries[sender] = message.workers
         for worker in message.workers:
             if worker.leaving:
                 self.drop_worker(WorkerId(worker.worker_id))
 
-    def peer_left(self, entry_id: EntryId) -> None:
+    def forget_peer(self, entry_id: EntryId) -> None:
         """Forget the free slots of a peer."""
         self._summaries.pop(entry_id, None)
 
-    def revoked(self, lender: EntryId, grant_ids: Iterable[GrantId]) -> None:
+    def drop_revoked(
+        self, lender: EntryId, grant_ids: Iterable[GrantId]
+    ) -> None:
         """Drop the grants that their lender has revoked."""
-        self.drop(
+        self.drop_grants(
             [name for name in grant_ids if self.lenders.get(name) == lender],
         )
 
-    def drop(self, grant_ids: Collection[GrantId]) -> None:
+    def drop_grants(self, grant_ids: Collection[GrantId]) -> None:
         """Drop grants that are no longer valid."""
-        self._wallet.revoke(grant_ids)
+        self._permit_pool.drop_grants(grant_ids)
         for grant_id in grant_ids:
             self.lenders.pop(grant_id, None)
 
     def drop_worker(self, worker_id: WorkerId) -> None:
         """Drop all grants of one worker."""
-        self.drop(
-            [name for name in self.lenders if worker_of(name) == worker_id]
+        self.drop_grants(
+            [name for name in self.lenders if worker_id_of(name) == worker_id]
         )
 
-    def supply_locally(
+    def borrow_locally(
         self,
         service: ServiceId,
         excluded: Collection[WorkerId],
         now_s: float,
     ) -> None:
         """Lend from the own ledgers to the own wallet, without a message."""
-        wants = self._desk.spread(
+        wants = self._allocator.spread(
             service,
             BULK_SLOTS_COUNT,
             now_s,
             excluded=excluded,
         )
         own_id = self._identity.entry_id
-        grants = self._desk.lend(
+        grants = self._allocator.lend(
             own_id,
             self._identity.incarnation,
             wants,
@@ -153,8 +155,8 @@
 
     async def renew(self) -> None:
         """Renew all grants, with one message for each lender."""
-        self._wallet.sweep(self._now())
-        held = set(self._wallet.renewable())
+        self._permit_pool.drop_expired(self._now())
+        held = set(self._permit_pool.renewable_grants())
         self.lenders = {
             grant_id: lender
             for grant_id, lender in self.lenders.items()
@@ -170,20 +172,24 @@
 
     async def return_idle(self, *, idle_after_s: float) -> None:
         """Return the permits that were not used for some time."""
-        shares = self._wallet.idle(self._now(), idle_after_s=idle_after_s)
-        kept = {worker_of(name) for name in self._wallet.renewable()}
+        shares = self._permit_pool.withdraw_idle(
+            self._now(), idle_after_s=idle_after_s
+        )
+        kept = {
+            worker_id_of(name) for name in self._permit_pool.renewable_grants()
+        }
         for worker_id in {share.worker_id for share in shares} - kept:
             await self.close_connections(worker_id)
         await self._return_all(shares)
 
-    async def return_surplus(self, *, reserve_count: int) -> None:
+    async def return_surplus(self, *, min_free_count: int) -> None:
         """Return the permits that were not needed of late.
 
         Connections stay open: the worker is likely to be borrowed again, and
         the owner counts the session until they are closed.
         """
         await self._return_all(
-            self._wallet.surplus(reserve_count=reserve_count),
+            self._permit_pool.withdraw_surplus(min_free_count=min_free_count),
         )
 
     async def _return_all(self, shares: list[GrantShare]) -> None:
@@ -197,14 +203,14 @@
 
     def _add(self, grant: Grant, lender: EntryId, now_s: float) -> None:
         self.lenders[grant.grant_id] = lender
-        self._wallet.add(grant, now_s)
+        self._permit_pool.add(grant, now_s)
 
     def _free_slots(self, entry_id: EntryId, service: ServiceId) -> int:
         return sum(
             worker.free_slots_count
             for worker in self._summaries.get(entry_id, ())
             if not worker.leaving
-            and self._wallet.with_free.runs(
+            and self._permit_pool.available_workers.runs(
                 WorkerId(worker.worker_id),
                 service,
             )
@@ -227,7 +233,9 @@
         reply = await call_peer(peer, request)
         grants = () if reply is None else reply.grants
         for message in grants:
-            self._add(grant_from(message, sent_at_s), lender, self._now())
+            self._add(
+                grant_from_message(message, sent_at_s), lender, self._now()
+            )
         return bool(grants)
 
     async def _renew_at(
@@ -237,10 +245,12 @@
     ) -> None:
         sent_at_s = self._now()
         if lender == self._identity.entry_id:
-            renewed, refused = self._desk.renew(lender, grant_ids, sent_at_s)
+            renewed, refused = self._allocator.renew(
+                lender, grant_ids, sent_at_s
+            )
             for own in renewed:
-                self._wallet.renew(own.grant_id, own.expires_at_s)
-            self.drop(refused)
+                self._permit_pool.renew(own.grant_id, own.expires_at_s)
+            self.drop_grants(refused)
             return
         request = ttypes.Renew(
             borrower=self._identity.entry_id,
@@ -250,9 +260,9 @@
         if reply is None:
             return
         for message in reply.renewed:
-            grant = grant_from(message, sent_at_s)
-            self._wallet.renew(grant.grant_id, grant.expires_at_s)
-        self.drop(list(map(GrantId, reply.refused)))
+            grant = grant_from_message(message, sent_at_s)
+            self._permit_pool.renew(grant.grant_id, grant.expires_at_s)
+        self.drop_grants(list(map(GrantId, reply.refused)))
 
     async def _return_to(
         self,
@@ -261,7 +271,7 @@
     ) -> None:
         own_id = self._identity.entry_id
         if lender == own_id:
-            self._desk.give_back(own_id, shares)
+            self._allocator.give_back(own_id, shares)
             return
         request = ttypes.GiveBack(
             borrower=own_id,
@@ -276,10 +286,12 @@
         )
         if await call_peer(self._peers().get(lender), request) is None:
             # Sent again, a return that had arrived would free slots twice.
-            self._wallet.return_failed([share.grant_id for share in shares])
+            self._permit_pool.mark_return_failed(
+                [share.grant_id for share in shares]
+            )
 
 
-def grant_from(message: Message, sent_at_s: float) -> Grant:
+def grant_from_message(message: Message, sent_at_s: float) -> Grant:
     """Return the grant of a message; it expires counted from the sending."""
     return Grant(
         grant_id=GrantId(message.grant_id),
--- a/src/marjoramwharf/contracts/peer_desk.py
+++ b/src/marjoramwharf/contracts/capacity_handlers.py
@@ -4,8 +4,12 @@
 
 from collections.abc import Callable
 
+from marjoramwharf.contracts.allocator import (
+    AttemptRequest,
+    CapacityAllocator,
+    reservation_id,
+)
 from marjoramwharf.contracts.borrowing import Borrower, grant_message
-from marjoramwharf.contracts.desk import OwnerDesk, Placement, reservation_id
 from marjoramwharf.contracts.permits import GrantShare
 from marjoramwharf.ids import EntryId, GrantId, ServiceId, TaskId, WorkerId
 from marjoramwharf.links.peer_messages import Message, PeerIdentity
@@ -14,7 +18,9 @@
 from marjoramwharf.machines.calls import Demand
 
 
-def summary_message(identity: PeerIdentity, desk: OwnerDesk) -> Message:
+def summary_message(
+    identity: PeerIdentity, allocator: CapacityAllocator
+) -> Message:
     """Return the message that shows the free slots of the owned workers."""
     return ttypes.Summary(
         entry_id=identity.entry_id,
@@ -27,17 +33,17 @@
                 service_latency_ms=0,
                 interference_ratio=1,
             )
-            for worker_id, ledger in desk.ledgers.items()
+            for worker_id, ledger in allocator.ledgers.items()
         ],
-        free_millicores=free_millicores(desk),
+        free_millicores=free_millicores(allocator),
     )
 
 
-def free_millicores(desk: OwnerDesk) -> int:
+def free_millicores(allocator: CapacityAllocator) -> int:
     """Return the processors of the usable owned workers that are free."""
     return sum(
         max(0, ledger.reservations.free.cpu_millicores)
-        for ledger in desk.ledgers.values()
+        for ledger in allocator.ledgers.values()
         if ledger.fenced and not ledger.leaving
     )
 
@@ -51,7 +57,7 @@
     )
 
 
-class PeerDesk:
+class CapacityHandlers:
     """Answers peers from the desk, and takes their news to the borrower.
 
     The sender is the identity that was proved in Hello, never a name that a
@@ -60,13 +66,13 @@
 
     def __init__(
         self,
-        desk: OwnerDesk,
+        allocator: CapacityAllocator,
         borrower: Borrower,
         *,
         now: Callable[[], float],
     ) -> None:
         """Keep the parts; ``now`` is the present in monotonic seconds."""
-        self._desk = desk
+        self._allocator = allocator
         self._borrower = borrower
         self._now = now
 
@@ -88,12 +94,12 @@
         wants = [
             (WorkerId(want.worker_id), want.slots_count) for want in asked.wants
         ]
-        wants += self._desk.spread(
+        wants += self._allocator.spread(
             ServiceId(asked.service_id),
             asked.any_slots_count,
             now_s,
         )
-        grants = self._desk.lend(
+        grants = self._allocator.lend(
             sender.entry_id,
             sender.incarnation,
             wants,
@@ -105,7 +111,7 @@
 
     async def _on_renew(self, sender: PeerIdentity, asked: Message) -> Message:
         now_s = self._now()
-        renewed, refused = self._desk.renew(
+        renewed, refused = self._allocator.renew(
             sender.entry_id,
             list(map(GrantId, asked.grant_ids)),
             now_s,
@@ -128,15 +134,17 @@
             )
             for share in returned.shares
         ]
-        self._desk.give_back(sender.entry_id, shares)
+        self._allocator.give_back(sender.entry_id, shares)
         return ttypes.Ack()
 
     async def _on_revoke(self, sender: PeerIdentity, news: Message) -> Message:
-        self._borrower.revoked(sender.entry_id, map(GrantId, news.grant_ids))
+        self._borrower.drop_revoked(
+            sender.entry_id, map(GrantId, news.grant_ids)
+        )
         return ttypes.Ack()
 
     async def _on_summary(self, sender: PeerIdentity, news: Message) -> Message:
-        self._borrower.summary_received(sender.entry_id, news)
+        self._borrower.record_summary(sender.entry_id, news)
         return ttypes.Ack()
 
     async def _on_reserve(
@@ -144,7 +152,7 @@
         _sender: PeerIdentity,
         asked: Message,
     ) -> Message:
-        placement = Placement(
+        placement = AttemptRequest(
             task_id=TaskId(asked.task_id),
             fence=(asked.shard_epoch or 0, asked.attempt),
             demand=demand_of(asked.demand),
@@ -154,7 +162,7 @@
             avoid_workers=frozenset(map(WorkerId, asked.avoid_workers or ())),
             declared=demand_of(asked.declared or asked.demand),
         )
-        ledger = self._desk.reserve(placement, self._now())
+        ledger = self._allocator.reserve(placement, self._now())
         return ttypes.Reserved(
             reservation_id=reservation_id(placement, ledger.worker.worker_id),
             worker_id=ledger.worker.worker_id,
@@ -167,11 +175,11 @@
         _sender: PeerIdentity,
         asked: Message,
     ) -> Message:
-        self._desk.release(asked.reservation_id)
+        self._allocator.release(asked.reservation_id)
         return ttypes.Ack()
 
     async def _on_leaving(
         self, sender: PeerIdentity, _news: Message
     ) -> Message:
-        self._borrower.peer_left(EntryId(sender.entry_id))
+        self._borrower.forget_peer(EntryId(sender.entry_id))
         return ttypes.Ack()
--- a/src/marjoramwharf/contracts/claim_values.py
+++ b/src/marjoramwharf/contracts/claim_values.py
@@ -42,25 +42,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class ClaimHeld:
     """The claim was written; its call may be dispatched."""
 
     claim: Claim
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class ClaimExists:
     """Another call holds the claim."""
 
     claim: Claim
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class ClaimWithdrawn:
     """The claim that was to be changed has been withdrawn."""
 
 
-ClaimOutcome: TypeAlias = Held | Found | Gone
+ClaimOutcome: TypeAlias = ClaimHeld | ClaimExists | ClaimWithdrawn
 
 
 def decode_claim(stored: StoredValue) -> Claim:
--- a/src/marjoramwharf/contracts/claims.py
+++ b/src/marjoramwharf/contracts/claims.py
@@ -19,7 +19,7 @@
     Claim,
     ClaimOutcome,
     ClaimRecord,
-    Gone,
+    ClaimWithdrawn,
 )
 from marjoramwharf.errors import Failure
 from marjoramwharf.ids import CallId, Incarnation, TeamId, WorkerId, random_id
@@ -30,7 +30,7 @@
 _log = part_logger('claims')
 
 
-class Claims:
+class ClaimStore:
     """Reads and writes claims; ``run`` must be running for the writes.
 
     Claims of one entry share leases that are granted for a bucket of time, so
@@ -55,9 +55,9 @@
         """Write what is queued, until cancelled."""
         await self._writer.run()
 
-    async def drained(self) -> None:
+    async def wait_until_drained(self) -> None:
         """Wait until all completions are written, for a planned stop."""
-        await self._writer.drained()
+        await self._writer.wait_until_drained()
 
     async def look_up(self, team: TeamId, key: str) -> Claim | None:
         """Read a claim; raises ``StoreUnavailable``."""
@@ -122,7 +122,7 @@
         outcome = await self._write(
             PendingWrite(claim.key, claim.revision, None, True),
         )
-        return isinstance(outcome, Gone)
+        return isinstance(outcome, ClaimWithdrawn)
 
     def complete(self, claim: Claim, answer: CallAnswer) -> None:
         """Keep an answer; it is written in the background."""
--- a/src/marjoramwharf/contracts/configuration.py
+++ b/src/marjoramwharf/contracts/configuration.py
@@ -18,8 +18,8 @@
     Routing,
     Service,
     TaskClass,
+    changed_fields,
     identity_of,
-    set_fields,
 )
 from marjoramwharf.errors import BadNote
 
@@ -57,7 +57,7 @@
     task_classes: tuple[TaskClass, ...] = ()
 
 
-class ProblemsFound(BadNote):
+class IncompatibleNote(BadNote):
     """A note that does not fit the configuration, with all its problems."""
 
     def __init__(self, problems: Sequence[Problem]) -> None:
@@ -75,7 +75,7 @@
 ) -> Configuration:
     """Return the configuration with the next revision.
 
-    Raises ``ProblemsFound`` when the note does not fit what is in force.
+    Raises ``IncompatibleNote`` when the note does not fit what is in force.
     """
     problems: list[Problem] = []
     merged = {
@@ -94,17 +94,17 @@
         instances=_merge_instances(configuration.instances, note, problems),
         limits=structs.replace(
             configuration.limits,
-            **set_fields(note.limits),
+            **changed_fields(note.limits),
         ),
         policy=structs.replace(
             configuration.policy,
-            **set_fields(note.policy),
+            **changed_fields(note.policy),
         ),
         **merged,
     )
     problems.extend(_cross_check(after, note))
     if problems:
-        raise ProblemsFound(problems)
+        raise IncompatibleNote(problems)
     return after
 
 
@@ -133,7 +133,7 @@
     if kind == 'withdrawn':
         things.pop(key)
     elif kind == 'changed':
-        things[key] = structs.replace(things[key], **set_fields(declared))
+        things[key] = structs.replace(things[key], **changed_fields(declared))
     else:
         things[key] = declared
 
--- a/src/marjoramwharf/contracts/heartbeats.py
+++ b/src/marjoramwharf/contracts/heartbeats.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from marjoramwharf.contracts.desk import OwnerDesk
+from marjoramwharf.contracts.allocator import CapacityAllocator
 from marjoramwharf.contracts.ledger import WorkerLedger
 from marjoramwharf.errors import WorkerUnreachable
 from marjoramwharf.ids import GrantId, WorkerId
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        desk: OwnerDesk,
+        allocator: CapacityAllocator,
         settings: CapacitySettings,
         agent_of: Callable[[WorkerId], WorkerAgent],
         now: Callable[[], float],
@@ -45,12 +45,12 @@
         self.on_leaving: Callable[[WorkerLedger], None] | None = None
         self.failed_count = 0
         self.revoked_count = 0
-        self._desk = desk
+        self._allocator = allocator
         self._settings = settings
         self._agent_of = agent_of
         self._now = now
 
-    async def keep(self, ledger: WorkerLedger) -> None:
+    async def run(self, ledger: WorkerLedger) -> None:
         """Send heartbeats while the ledger is the desk's.
 
         The heartbeats of a worker never overlap: a reply must be the newest
@@ -58,7 +58,7 @@
         """
         worker_id = ledger.worker.worker_id
         interval_s = self._settings.heartbeat_ms / 1000
-        while self._desk.ledgers.get(worker_id) is ledger:
+        while self._allocator.ledgers.get(worker_id) is ledger:
             due_at = trio.current_time() + interval_s
             with trio.move_on_at(due_at):
                 await self._beat(ledger)
@@ -67,7 +67,7 @@
     async def _beat(self, ledger: WorkerLedger) -> None:
         worker_id = ledger.worker.worker_id
         sent_at_s = self._now()
-        revoked = tuple(ledger.expired(sent_at_s))
+        revoked = tuple(ledger.start_revocations(sent_at_s))
         try:
             reply = await self._agent_of(worker_id).lease(
                 ledger.epoch,
@@ -82,7 +82,7 @@
                 error=failure.message,
             )
             return
-        if self._desk.ledgers.get(worker_id) is ledger:
+        if self._allocator.ledgers.get(worker_id) is ledger:
             self._take_over(ledger, reply, revoked, sent_at_s)
 
     def _take_over(
@@ -94,17 +94,17 @@
     ) -> None:
         worker_id = ledger.worker.worker_id
         if reply.epoch != ledger.epoch:
-            self._desk.ledgers.pop(worker_id)
+            self._allocator.ledgers.pop(worker_id)
             _LOG.warning('superseded', worker=worker_id, epoch=reply.epoch)
             self.on_superseded(worker_id)
             return
         was_leaving = ledger.leaving
         if ledger.fenced:
-            ledger.revocation_acknowledged(revoked, reply.running)
+            ledger.record_revocations(revoked, reply.running)
             self.revoked_count += len(revoked)
-            ledger.report(reply, sent_at_s)
+            ledger.record_report(reply, sent_at_s)
         else:
-            ledger.fence_acknowledged(reply, sent_at_s)
+            ledger.record_fence(reply, sent_at_s)
         if ledger.leaving and not was_leaving and self.on_leaving:
             self.on_leaving(ledger)
         self.on_lease(worker_id, reply)
--- a/src/marjoramwharf/contracts/ledger.py
+++ b/src/marjoramwharf/contracts/ledger.py
@@ -39,7 +39,7 @@
     connections_count: int
 
 
-def worker_of(grant_id: GrantId) -> WorkerId:
+def worker_id_of(grant_id: GrantId) -> WorkerId:
     """Return the worker that a grant id names."""
     return WorkerId(grant_id.partition(_ID_SEPARATOR)[2])
 
@@ -56,7 +56,7 @@
         epoch: Epoch,
         *,
         grant_ttl_s: float,
-        session_size: int,
+        connections_per_session: int,
     ) -> None:
         """Start with the worker's state unknown."""
         self.worker = worker
@@ -67,7 +67,7 @@
         self.reported_at_s: float = 0
         self._expiry_s: float = 0
         self._grant_ttl_s = grant_ttl_s
-        self._session_size = session_size
+        self._session_size = connections_per_session
         self._counter = itertools.count(1)
         self._lent: dict[GrantId, _Lent] = {}
         self._sessions: dict[EntryId, _Session] = {}
@@ -83,11 +83,11 @@
         return max(0, total - lent - self._old_calls_count)
 
     @property
-    def lent_count(self) -> int:
+    def lent_grants_count(self) -> int:
         """Grants that are lent, revocations included."""
         return len(self._lent)
 
-    def is_current(self, now_s: float) -> bool:
+    def accepts_work(self, now_s: float) -> bool:
         """Tell whether the worker may get new work.
 
         A worker that was not heard from within the time of a grant may be
@@ -103,14 +103,14 @@
         used = sum(held.connections_count for held in self._sessions.values())
         return max(0, self.worker.capacity.connections_count - used)
 
-    def fence_acknowledged(self, reply: LeaseReply, sent_at_s: float) -> None:
+    def record_fence(self, reply: LeaseReply, sent_at_s: float) -> None:
         """Count everything that runs at the worker as held, then lend."""
         for entry, count in reply.connections:
             if count:
                 held_count = max(count, self._session_size)
                 self._sessions[entry] = _Session(None, held_count)
         self.fenced = True
-        self.report(reply, sent_at_s)
+        self.record_report(reply, sent_at_s)
 
     def lend(
         self,
@@ -170,7 +170,7 @@
         if held.slots_count <= 0:
             self._lent.pop(grant_id)
 
-    def expired(self, now_s: float) -> list[GrantId]:
+    def start_revocations(self, now_s: float) -> list[GrantId]:
         """Begin the revocation of expired grants; return all that are due.
 
         A grant stays due until the worker has acknowledged its revocation.
@@ -188,14 +188,14 @@
         for held in self._lent.values():
             held.revoking = held.revoking or held.borrower == borrower
 
-    def borrowers(self) -> dict[EntryId, list[GrantId]]:
+    def grants_by_borrower(self) -> dict[EntryId, list[GrantId]]:
         """Return the grants of each borrower, revocations included."""
         found: dict[EntryId, list[GrantId]] = {}
         for grant_id, held in self._lent.items():
             found.setdefault(held.borrower, []).append(grant_id)
         return found
 
-    def revocation_acknowledged(
+    def record_revocations(
         self,
         grant_ids: Iterable[GrantId],
         running: Iterable[RunningCall],
@@ -207,7 +207,7 @@
                 self._lent.pop(grant_id)
         self._count_old(running)
 
-    def report(self, reply: LeaseReply, sent_at_s: float) -> None:
+    def record_report(self, reply: LeaseReply, sent_at_s: float) -> None:
         """Take over what a heartbeat reply says of calls and tasks.
 
         ``sent_at_s`` is the time when the heartbeat was sent.
@@ -218,9 +218,9 @@
         # when the worker may have been leaving for longer than that time.
         self._expiry_s = sent_at_s + self._grant_ttl_s
         self._count_old(reply.running)
-        self.reservations.reported(reply.tasks, sent_at_s)
+        self.reservations.record_reports(reply.tasks, sent_at_s)
         counts = dict(reply.connections)
-        lenders = self.borrowers()
+        lenders = self.grants_by_borrower()
         for entry in tuple(self._sessions):
             if entry not in lenders and not counts.get(entry):
                 self._sessions.pop(entry)
@@ -251,7 +251,10 @@
                 self._session_size,
             )
             return True
-        if session.incarnation is None and borrower not in self.borrowers():
+        if (
+            session.incarnation is None
+            and borrower not in self.grants_by_borrower()
+        ):
             # The first borrower seen after a takeover keeps its connections.
             session.incarnation = incarnation
         if session.incarnation != incarnation:
--- a/src/marjoramwharf/contracts/lending.py
+++ b/src/marjoramwharf/contracts/lending.py
@@ -7,18 +7,21 @@
 
 import trio
 
+from marjoramwharf.contracts.allocator import CapacityAllocator
 from marjoramwharf.contracts.borrowing import (
     Borrower,
     PeerCaller,
     call_peer,
 )
-from marjoramwharf.contracts.desk import OwnerDesk
+from marjoramwharf.contracts.capacity_handlers import (
+    CapacityHandlers,
+    summary_message,
+)
 from marjoramwharf.contracts.heartbeats import Heartbeats
 from marjoramwharf.contracts.ledger import WorkerLedger
 from marjoramwharf.contracts.ownership import shard_of
-from marjoramwharf.contracts.peer_desk import PeerDesk, summary_message
+from marjoramwharf.contracts.permit_pool import PermitPool
 from marjoramwharf.contracts.permits import Permit
-from marjoramwharf.contracts.wallet import Wallet
 from marjoramwharf.ids import EntryId, Epoch, ServiceId, ShardId, WorkerId
 from marjoramwharf.links.peer_messages import Message, PeerIdentity
 from marjoramwharf.links.peer_server import Handler
@@ -38,7 +41,7 @@
 
 
 def assign_workers(
-    keeper: CapacityKeeper,
+    capacity_manager: CapacityManager,
     listed: Mapping[WorkerId, Worker],
     owned: Mapping[ShardId, Epoch],
     settings: CapacitySettings,
@@ -50,40 +53,40 @@
     heartbeats. Returns the shards that must advance to a new epoch, since a
     worker of theirs came back after it was disowned.
     """
-    _disown_lost(keeper, listed, owned, settings, now_s)
+    _disown_lost(capacity_manager, listed, owned, settings, now_s)
     waiting = set()
     for worker_id, worker in listed.items():
         shard = shard_of(worker_id, settings.shard_count)
         epoch = owned.get(shard)
         if epoch is not None:
-            keeper.own(worker, epoch)
-            if worker_id not in keeper.desk.ledgers:
+            capacity_manager.own(worker, epoch)
+            if worker_id not in capacity_manager.allocator.ledgers:
                 waiting.add(shard)
         if worker.state is WorkerState.LEAVING:
-            keeper.mark_leaving(worker_id)
+            capacity_manager.mark_leaving(worker_id)
     return frozenset(waiting)
 
 
 def _disown_lost(
-    keeper: CapacityKeeper,
+    capacity_manager: CapacityManager,
     listed: Collection[WorkerId],
     owned: Collection[ShardId],
     settings: CapacitySettings,
     now_s: float,
 ) -> None:
-    for worker_id, ledger in tuple(keeper.desk.ledgers.items()):
+    for worker_id, ledger in tuple(capacity_manager.allocator.ledgers.items()):
         silent_ms = (now_s - ledger.reported_at_s) * 1000
         is_silent = silent_ms >= settings.worker_lease_ms
         is_owned = shard_of(worker_id, settings.shard_count) in owned
         if not is_owned or (is_silent and worker_id not in listed):
-            keeper.disown(worker_id)
+            capacity_manager.disown(worker_id)
 
 
 def _ignore_supply(_service: ServiceId) -> None:
     """Do nothing; the default where nobody waits for permits."""
 
 
-class CapacityKeeper:
+class CapacityManager:
     """Ledgers of the owned workers and the wallet of one entry.
 
     ``agent_of`` returns the agent of a worker, ``now`` the present in
@@ -97,20 +100,20 @@
         self,
         identity: PeerIdentity,
         settings: CapacitySettings,
-        wallet: Wallet,
+        permit_pool: PermitPool,
         *,
-        desk: OwnerDesk,
+        allocator: CapacityAllocator,
         agent_of: Callable[[WorkerId], WorkerAgent],
         peers: Callable[[], Mapping[EntryId, PeerCaller]],
         rng: random.Random,
         now: Callable[[], float] = trio.current_time,
     ) -> None:
         """Start without workers."""
-        self.desk = desk
-        self.wallet = wallet
+        self.allocator = allocator
+        self.permit_pool = permit_pool
         self._identity = identity
         self._settings = settings
-        self.heartbeats = Heartbeats(desk, settings, agent_of, now)
+        self.heartbeats = Heartbeats(allocator, settings, agent_of, now)
         self.heartbeats.on_leaving = self._tell_leaving
         self._peers = peers
         self._rng = rng
@@ -119,11 +122,11 @@
         self._last_epochs: dict[WorkerId, Epoch] = {}
         self._supplies: dict[ServiceId, trio.Event] = {}
         self._supply_pause_s = _SUPPLY_PAUSE_S
-        self.on_supplied: Callable[[ServiceId], None] = _ignore_supply
+        self.on_refilled: Callable[[ServiceId], None] = _ignore_supply
         self.borrower = Borrower(
             identity,
-            wallet,
-            desk,
+            permit_pool,
+            allocator,
             peers=peers,
             now=now,
         )
@@ -156,33 +159,33 @@
             worker,
             epoch,
             grant_ttl_s=self._settings.grant_ttl_ms / 1000,
-            session_size=self._settings.connections_per_session,
+            connections_per_session=self._settings.connections_per_session,
         )
-        self.desk.ledgers[worker.worker_id] = ledger
-        self._nursery.start_soon(self.heartbeats.keep, ledger)
+        self.allocator.ledgers[worker.worker_id] = ledger
+        self._nursery.start_soon(self.heartbeats.run, ledger)
 
     def disown(self, worker_id: WorkerId) -> None:
         """Stop owning a worker; its heartbeats and loans end."""
-        self.desk.ledgers.pop(worker_id, None)
+        self.allocator.ledgers.pop(worker_id, None)
 
     def mark_leaving(self, worker_id: WorkerId) -> None:
         """Stop the use of a worker that is leaving, and tell the borrowers."""
         self.borrower.drop_worker(worker_id)
-        ledger = self.desk.ledgers.get(worker_id)
+        ledger = self.allocator.ledgers.get(worker_id)
         if ledger is not None and not ledger.leaving:
             ledger.leaving = True
             self._tell_leaving(ledger)
 
     def refused(self, permit: Permit, refusal: WorkerRefusal) -> None:
         """Take over what a worker's refusal says of a permit's grant."""
-        self.wallet.put_back(permit, self._now())
+        self.permit_pool.put_back(permit, self._now())
         if refusal is WorkerRefusal.LEAVING:
             self.mark_leaving(permit.worker_id)
         elif refusal in {
             WorkerRefusal.STALE_EPOCH,
             WorkerRefusal.REVOKED_GRANT,
         }:
-            self.borrower.drop([permit.grant_id])
+            self.borrower.drop_grants([permit.grant_id])
 
     async def acquire(
         self,
@@ -198,12 +201,12 @@
         """
         permit = self._choose(service, excluded, now_s)
         if permit is None:
-            self.borrower.supply_locally(service, excluded, now_s)
+            self.borrower.borrow_locally(service, excluded, now_s)
             permit = self._choose(service, excluded, now_s)
         if permit is not None:
             # The last free permit was taken: borrow before a request waits.
             # A higher mark would let one caller collect all free slots.
-            if not self.wallet.with_free.count(service):
+            if not self.permit_pool.available_workers.count(service):
                 self._start_supply(service)
             return permit
         supply = self._start_supply(service)
@@ -212,7 +215,7 @@
         await supply.wait()
         return self._choose(service, excluded, self._now())
 
-    def supply(
+    def refill(
         self,
         service: ServiceId,
         excluded: Collection[WorkerId],
@@ -221,22 +224,22 @@
         """Fill the wallet from the own ledgers, or start to borrow.
 
         Returns whether the wallet has a free permit of another worker than
-        the excluded ones now. ``on_supplied`` is called when the borrowing
+        the excluded ones now. ``on_refilled`` is called when the borrowing
         has ended.
         """
-        self.borrower.supply_locally(service, excluded, now_s)
-        found = self.wallet.candidates(service, now_s, rng=self._rng)
+        self.borrower.borrow_locally(service, excluded, now_s)
+        found = self.permit_pool.candidates(service, now_s, rng=self._rng)
         if any(worker_id not in excluded for worker_id in found):
             return True
         self._start_supply(service)
         return False
 
-    def used(self, service: ServiceId, now_s: float) -> None:
+    def borrow_ahead(self, service: ServiceId, now_s: float) -> None:
         """Borrow ahead when the last free permits are being taken."""
-        if self.wallet.free_count >= _RESERVE_COUNT:
+        if self.permit_pool.free_count >= _RESERVE_COUNT:
             return
-        self.borrower.supply_locally(service, (), now_s)
-        if self.wallet.free_count < _RESERVE_COUNT:
+        self.borrower.borrow_locally(service, (), now_s)
+        if self.permit_pool.free_count < _RESERVE_COUNT:
             self._start_supply(service)
 
     async def stop(self) -> None:
@@ -247,8 +250,8 @@
 
     def handlers(self) -> dict[type, Handler]:
         """Return the lending part of the table for the peer server."""
-        return PeerDesk(
-            self.desk,
+        return CapacityHandlers(
+            self.allocator,
             self.borrower,
             now=self._now,
         ).handlers()
@@ -259,7 +262,7 @@
         excluded: Collection[WorkerId],
         now_s: float,
     ) -> Permit | None:
-        return self.wallet.choose(
+        return self.permit_pool.take_random(
             service,
             now_s,
             rng=self._rng,
@@ -278,10 +281,10 @@
         return supply
 
     async def _supply(self, service: ServiceId, supply: trio.Event) -> None:
-        self.borrower.supply_locally(service, (), self._now())
+        self.borrower.borrow_locally(service, (), self._now())
         has_borrowed = await self.borrower.borrow(service)
         supply.set()
-        self.on_supplied(service)
+        self.on_refilled(service)
         if has_borrowed:
             self._supply_pause_s = _SUPPLY_PAUSE_S
         else:
@@ -304,21 +307,21 @@
         """Return what was not needed since the last turn."""
         while True:
             await trio.sleep(_SURPLUS_S)
-            await self.borrower.return_surplus(reserve_count=_RESERVE_COUNT)
+            await self.borrower.return_surplus(min_free_count=_RESERVE_COUNT)
 
     async def _summarise(self) -> None:
         """Show the free slots of the owned workers to all peers."""
         while True:
             due_at = trio.current_time() + self._settings.heartbeat_ms / 1000
             await self._tell_all(
-                summary_message(self._identity, self.desk),
+                summary_message(self._identity, self.allocator),
             )
             await trio.sleep_until(due_at)
 
     def _tell_leaving(self, ledger: WorkerLedger) -> None:
         self.borrower.drop_worker(ledger.worker.worker_id)
         peers = self._peers()
-        for entry_id, grant_ids in ledger.borrowers().items():
+        for entry_id, grant_ids in ledger.grants_by_borrower().items():
             peer = peers.get(entry_id)
             if peer is not None and self._nursery is not None:
                 revoke = ttypes.Revoke(
--- a/src/marjoramwharf/contracts/note_api.py
+++ b/src/marjoramwharf/contracts/note_api.py
@@ -22,7 +22,7 @@
     NoteConflict,
     NoteRefused,
 )
-from marjoramwharf.contracts.note_keeper import NoteKeeper
+from marjoramwharf.contracts.note_registry import NoteRegistry
 from marjoramwharf.contracts.release_note import ReleaseNote
 from marjoramwharf.errors import (
     Failure,
@@ -58,7 +58,9 @@
     return hmac.compare_digest((header or '').encode(), expected)
 
 
-def note_blueprint(keeper: NoteKeeper, is_operator: TokenCheck) -> Blueprint:
+def note_blueprint(
+    registry: NoteRegistry, is_operator: TokenCheck
+) -> Blueprint:
     """Return the endpoints below ``/v1/notes``."""
     blueprint = Blueprint('notes', __name__, url_prefix='/v1/notes')
 
@@ -69,13 +71,13 @@
         return _unauthorized()
 
     async def current() -> Response:  # noqa: WPS430
-        return json_response(HTTPStatus.OK, current_body(keeper))
+        return json_response(HTTPStatus.OK, current_body(registry))
 
     async def history() -> Response:  # noqa: WPS430
-        return await _history(keeper)
+        return await _history(registry)
 
     async def submit() -> Response:  # noqa: WPS430
-        return await _submit(keeper)
+        return await _submit(registry)
 
     blueprint.add_url_rule('/current', view_func=current)
     blueprint.add_url_rule('/history', view_func=history)
@@ -83,19 +85,19 @@
     return blueprint
 
 
-def current_body(keeper: NoteKeeper) -> dict[str, Any]:
+def current_body(registry: NoteRegistry) -> dict[str, Any]:
     """Return the configuration in force on this entry, and since when."""
-    now = keeper.current
+    now = registry.current
     return {
-        'entry': keeper.entry,
+        'entry': registry.entry,
         'revision': now.revision,
         'since_ms': now.since_ms,
-        'is_synchronised': keeper.is_synchronised,
+        'is_synchronised': registry.is_synchronised,
         'configuration': now.configuration,
     }
 
 
-async def _history(keeper: NoteKeeper) -> Response:
+async def _history(registry: NoteRegistry) -> Response:
     limit = request.args.get('limit', str(DEFAULT_HISTORY_COUNT))
     if not limit.isdecimal() or not 1 <= int(limit) <= MAX_HISTORY_COUNT:
         return error_response(
@@ -104,13 +106,13 @@
             f'limit must be a number from 1 to {MAX_HISTORY_COUNT}',
         )
     try:
-        found = await keeper.history(limit=int(limit))
+        found = await registry.history(limit=int(limit))
     except (StoreUnavailable, StoreBudgetSpent) as failure:
         return _storeerror_response(failure)
     return json_response(HTTPStatus.OK, {'notes': found})
 
 
-async def _submit(keeper: NoteKeeper) -> Response:
+async def _submit(registry: NoteRegistry) -> Response:
     body = await read_body(MAX_NOTE_BYTES)
     if body is None:
         return error_response(
@@ -126,7 +128,7 @@
             Reason.BAD_REQUEST,
             str(failure),
         )
-    return answer_response(note, await keeper.accept(note))
+    return answer_response(note, await registry.accept(note))
 
 
 def answer_response(note: ReleaseNote, answer: Answer) -> Response:
--- a/src/marjoramwharf/contracts/note_keeper.py
+++ b/src/marjoramwharf/contracts/note_registry.py
@@ -17,7 +17,7 @@
 from marjoramwharf.contracts import _note_records as records
 from marjoramwharf.contracts._note_acceptance import (
     STORE_FAILURES,
-    Acceptance,
+    NoteAcceptor,
     not_accepted,
 )
 from marjoramwharf.contracts.configuration import Configuration
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class ActiveConfiguration:
     """A configuration and since when (Unix time) this entry has it."""
 
     configuration: Configuration
@@ -51,10 +51,10 @@
         return self.configuration.revision
 
 
-Listener: TypeAlias = Callable[[InForce], None]
+Listener: TypeAlias = Callable[[ActiveConfiguration], None]
 
 
-class NoteKeeper:
+class NoteRegistry:
     """Keeps the configuration in force on one entry.
 
     ``now_ms`` returns Unix time, ``jitter`` a number from 0 to 1. ``run``
@@ -71,7 +71,7 @@
     ) -> None:
         """Start with the empty configuration at revision 0."""
         self.entry = entry
-        self.current = InForce(Configuration(), now_ms())
+        self.current = ActiveConfiguration(Configuration(), now_ms())
         self.is_synchronised = False
         self._store = store
         self._now_ms = now_ms
@@ -79,7 +79,7 @@
         self._listeners: list[Listener] = []
         self._floor = 0
         self._hinted = trio.Event()
-        self._acceptance = Acceptance(
+        self._acceptance = NoteAcceptor(
             store,
             entry=entry,
             now_ms=now_ms,
@@ -109,7 +109,7 @@
         self.is_synchronised = True
         if configuration.revision == self.current.revision:
             return False
-        self.current = InForce(configuration, now_ms)
+        self.current = ActiveConfiguration(configuration, now_ms)
         _log.info('note in force', revision=configuration.revision)
         for listener in self._listeners:
             self._call(listener)
--- a/src/marjoramwharf/contracts/ownership.py
+++ b/src/marjoramwharf/contracts/ownership.py
@@ -183,7 +183,7 @@
         )
         return await self._swap(shard, freed)
 
-    async def advance(self, shard: ShardId) -> bool:
+    async def advance_epoch(self, shard: ShardId) -> bool:
         """Move an owned shard to the next epoch.
 
         Grants of the former epoch end at the next fence. It serves a worker
@@ -215,7 +215,7 @@
             if preferred_entry(shard, members) not in {None, self._entry_id}
         ]
 
-    def lose(self, shard: ShardId) -> None:
+    def mark_lost(self, shard: ShardId) -> None:
         """Give up a shard after a refusal that proves a higher epoch."""
         if self.owned.pop(shard, None) is not None:
             _LOG.warning('shard lost', key=f'{self._prefix}/{shard}')
--- a/src/marjoramwharf/contracts/wallet.py
+++ b/src/marjoramwharf/contracts/permit_pool.py
@@ -29,7 +29,7 @@
     grant: Grant
     free_count: int
     used_at_s: float
-    renewable: bool = True
+    is_renewable: bool = True
     taken: dict[int, bool] = field(default_factory=dict)
 
     def is_usable(self, now_s: float) -> bool:
@@ -51,10 +51,10 @@
         )
 
 
-class Wallet:
+class PermitPool:
     """All grants of one borrower, by worker and by service.
 
-    ``services_of`` returns the services that a worker runs. ``with_free``
+    ``services_of`` returns the services that a worker runs. ``available_workers``
     holds the workers with a free permit; some of the permits may be expired.
     """
 
@@ -63,7 +63,7 @@
         services_of: Callable[[WorkerId], frozenset[str]],
     ) -> None:
         """Start without grants."""
-        self.with_free = ServiceIndex(services_of)
+        self.available_workers = ServiceIndex(services_of)
         self._held: dict[GrantId, _Held] = {}
         self._by_worker: dict[WorkerId, list[GrantId]] = {}
         self._serial = itertools.count(1)
@@ -94,7 +94,7 @@
                 return permit
         return None
 
-    def choose(
+    def take_random(
         self,
         service: ServiceId,
         now_s: float,
@@ -122,7 +122,7 @@
         """
         return [
             worker_id
-            for worker_id in self.with_free.sample(service, rng, count)
+            for worker_id in self.available_workers.sample(service, rng, count)
             if any(held.is_usable(now_s) for held in self._held_of(worker_id))
         ]
 
@@ -142,7 +142,7 @@
         if held is not None and permit.serial in held.taken:
             held.taken[permit.serial] = True
 
-    def settled(self, permit: Permit, now_s: float) -> None:
+    def release_in_doubt(self, permit: Permit, now_s: float) -> None:
         """Free a permit in doubt: its call ended or never started."""
         self.put_back(permit, now_s)
 
@@ -153,11 +153,11 @@
             later = max(expires_at_s, held.grant.expires_at_s)
             held.grant = replace(held.grant, expires_at_s=later)
 
-    def renewable(self) -> list[GrantId]:
+    def renewable_grants(self) -> list[GrantId]:
         """Return the grants whose renewal may be asked for."""
-        return [name for name, held in self._held.items() if held.renewable]
+        return [name for name, held in self._held.items() if held.is_renewable]
 
-    def revoke(self, grant_ids: Iterable[GrantId]) -> None:
+    def drop_grants(self, grant_ids: Iterable[GrantId]) -> None:
         """Drop grants with all their permits."""
         for grant_id in grant_ids:
             held = self._held.pop(grant_id, None)
@@ -166,9 +166,9 @@
                 self._by_worker[held.grant.worker_id].remove(grant_id)
                 self._index(held.grant.worker_id)
 
-    def sweep(self, now_s: float) -> None:
+    def drop_expired(self, now_s: float) -> None:
         """Drop the expired grants; their calls run on at the worker."""
-        self.revoke(
+        self.drop_grants(
             [
                 grant_id
                 for grant_id, held in self._held.items()
@@ -176,7 +176,9 @@
             ],
         )
 
-    def idle(self, now_s: float, *, idle_after_s: float) -> list[GrantShare]:
+    def withdraw_idle(
+        self, now_s: float, *, idle_after_s: float
+    ) -> list[GrantShare]:
         """Remove the free permits of unused grants, to be given back.
 
         The shares are no longer in the wallet when this returns, so that no
@@ -189,14 +191,14 @@
         ]
         return [self._withdraw(held, held.free_count) for held in due]
 
-    def surplus(self, *, reserve_count: int) -> list[GrantShare]:
+    def withdraw_surplus(self, *, min_free_count: int) -> list[GrantShare]:
         """Remove the permits that nobody needed since the last call.
 
         The least number of free permits in the meantime shows how many were
-        not needed; ``reserve_count`` of them are kept. The grants that were
+        not needed; ``min_free_count`` of them are kept. The grants that were
         used last longest ago go first.
         """
-        left = self._least_free_count - reserve_count
+        left = self._least_free_count - min_free_count
         self._least_free_count = self._free_count
         shares = []
         for held in sorted(self._held.values(), key=_used_at):
@@ -208,7 +210,7 @@
                 shares.append(self._withdraw(held, count))
         return shares
 
-    def return_failed(self, grant_ids: Iterable[GrantId]) -> None:
+    def mark_return_failed(self, grant_ids: Iterable[GrantId]) -> None:
         """Let grants lapse after a return whose answer was lost.
 
         The owner may count more slots than this wallet; the revocation after
@@ -217,7 +219,7 @@
         for grant_id in grant_ids:
             held = self._held.get(grant_id)
             if held is not None:
-                held.renewable = False
+                held.is_renewable = False
 
     def _withdraw(self, held: _Held, count: int) -> GrantShare:
         """Take free permits out of a grant, to be given back."""
@@ -226,7 +228,7 @@
         self._count_free(-count)
         self._index(grant.worker_id)
         if not held.taken and not held.free_count:
-            self.revoke((grant.grant_id,))
+            self.drop_grants((grant.grant_id,))
         return GrantShare(grant.grant_id, grant.worker_id, count)
 
     def _count_free(self, change: int) -> None:
@@ -242,7 +244,7 @@
         if not held_of_worker:
             self._by_worker.pop(worker_id, None)
         has_free = any(held.free_count for held in held_of_worker)
-        self.with_free.update(worker_id, has_free=has_free)
+        self.available_workers.update(worker_id, has_free=has_free)
 
 
 def _used_at(held: _Held) -> float:
--- a/src/marjoramwharf/contracts/release_note.py
+++ b/src/marjoramwharf/contracts/release_note.py
@@ -235,7 +235,7 @@
     origin: str
     lines: dict[str, int] = field(default_factory=dict)
 
-    def locate(self, problem: Problem) -> str:
+    def format_problem(self, problem: Problem) -> str:
         """Return a message with file, line and field."""
         return _located(self.origin, self.lines, problem)
 
@@ -271,12 +271,13 @@
             paths.add((section, identity_of(whole)))
         for change in changes.changed:
             paths.update(
-                (section, change.identity, name) for name in set_fields(change)
+                (section, change.identity, name)
+                for name in changed_fields(change)
             )
     for worker in (*note.instances.admitted, *note.instances.withdrawn):
         paths.add(('instances', worker))
-    paths.update(('limits', name) for name in set_fields(note.limits))
-    paths.update(('policy', name) for name in set_fields(note.policy))
+    paths.update(('limits', name) for name in changed_fields(note.limits))
+    paths.update(('policy', name) for name in changed_fields(note.policy))
     return frozenset(paths)
 
 
@@ -293,7 +294,7 @@
     return tuple(sorted('.'.join(path) for path in shared))
 
 
-def set_fields(change: Struct) -> dict[str, object]:
+def changed_fields(change: Struct) -> dict[str, object]:
     """Return the fields that a partial declaration sets."""
     return {
         name: getattr(change, name)
--- a/src/marjoramwharf/contracts/reservations.py
+++ b/src/marjoramwharf/contracts/reservations.py
@@ -60,12 +60,12 @@
         """Reserve for an attempt; a repeat of the same attempt succeeds."""
         if (task_id, fence) in self._held:
             return True
-        fits = self.has_room(demand)
+        fits = self.has_capacity(demand)
         if fits:
             self._held[task_id, fence] = _Reservation(demand, now_s)
         return fits
 
-    def has_room(self, demand: Demand) -> bool:
+    def has_capacity(self, demand: Demand) -> bool:
         """Tell whether a demand fits into what is free.
 
         A negative demand fits nowhere: it would add to the capacity.
@@ -77,7 +77,7 @@
             and 0 <= demand.accelerators_count <= free.accelerators_count
         )
 
-    def held(self) -> dict[AttemptKey, Demand]:
+    def demands(self) -> dict[AttemptKey, Demand]:
         """Return the reserved sizes."""
         return {key: held.demand for key, held in self._held.items()}
 
@@ -94,7 +94,7 @@
         """End a reservation after the worker has confirmed the end."""
         self._held.pop((task_id, fence), None)
 
-    def reported(self, tasks: Iterable[TaskReport], now_s: float) -> None:
+    def record_reports(self, tasks: Iterable[TaskReport], now_s: float) -> None:
         """Adopt the running attempts and free those that ended.
 
         ``tasks`` is the complete list of a worker's reply. An attempt that
@@ -114,7 +114,9 @@
             if key in running or held.seen_at_s is None
         }
 
-    def unseen(self, now_s: float, older_than_s: float) -> list[AttemptKey]:
+    def never_reported(
+        self, now_s: float, older_than_s: float
+    ) -> list[AttemptKey]:
         """Return old reservations whose attempt was never reported running.
 
         They may be released only after the worker has confirmed that the
--- a/src/marjoramwharf/programs/_batch_path.py
+++ b/src/marjoramwharf/programs/_batch_path.py
@@ -13,8 +13,8 @@
 from marjoramwharf.batch.job import TaskSpec
 from marjoramwharf.batch.ordering import ShardPolicy
 from marjoramwharf.batch.runner import Runner
-from marjoramwharf.contracts.lending import CapacityKeeper
-from marjoramwharf.contracts.note_keeper import InForce
+from marjoramwharf.contracts.lending import CapacityManager
+from marjoramwharf.contracts.note_registry import ActiveConfiguration
 from marjoramwharf.contracts.ownership import (
     OwnerRecord,
     Ownership,
@@ -72,7 +72,7 @@
     capacity_ownership: Ownership
     view: MemberView
     roster: Roster
-    keeper: CapacityKeeper
+    capacity_manager: CapacityManager
     agents: AgentPool
     peers: Callable[[], Mapping[EntryId, PeerClient]]
     gate: DrainGate
@@ -97,12 +97,12 @@
             self._reserved_of,
             seed=parts.rng.getrandbits(32),
         )
-        desk = parts.keeper.desk
-        desk.choose = self._choice.choose
-        desk.on_released = self._choice.released
+        allocator = parts.capacity_manager.allocator
+        allocator.choose = self._choice.choose
+        allocator.on_released = self._choice.released
         self.capacity = EntryCapacity(
             parts.settings.identity,
-            desk,
+            allocator,
             peers=parts.peers,
             owner_of=self._owner_of_worker,
             sizes=lambda: self._sizes,
@@ -110,7 +110,7 @@
             now=parts.clock,
         )
         self._usage = ClassUsageFollower(
-            desk,
+            allocator,
             agent_of=self._agent_of,
             clock=parts.clock,
         )
@@ -141,7 +141,7 @@
             peers=parts.peers,
             gate=parts.gate,
         )
-        parts.keeper.heartbeats.on_lease = self._on_lease
+        parts.capacity_manager.heartbeats.on_lease = self._on_lease
 
     async def run(self) -> None:
         """Serve the job shards until cancelled."""
@@ -173,7 +173,7 @@
         handlers[ttypes.JobCall] = self.routing.on_job_call
         handlers[ttypes.TaskReports] = self.reports.on_peer_reports
 
-    def put_in_force(self, in_force: InForce) -> None:
+    def put_in_force(self, in_force: ActiveConfiguration) -> None:
         """Follow a change of the configuration."""
         quotas: dict[TeamId, int] = {}
         for quota in in_force.configuration.quotas:
@@ -223,7 +223,7 @@
             self.instance_gone(worker_id)
 
     def _on_lease(self, worker_id: WorkerId, reply: LeaseReply) -> None:
-        ledger = self._parts.keeper.desk.ledgers.get(worker_id)
+        ledger = self._parts.capacity_manager.allocator.ledgers.get(worker_id)
         if ledger is not None:
             self._choice.follow(ledger)
         self.reports.on_lease(worker_id, reply)
@@ -271,7 +271,7 @@
     async def _forget(self) -> None:
         while True:
             await trio.sleep(_FORGET_S)
-            self._parts.keeper.desk.forget_ended()
+            self._parts.capacity_manager.allocator.forget_ended()
             for owned in self.runner.shards():
                 try:
                     await owned.forget_old(now_ms())
@@ -303,10 +303,15 @@
 
     async def _confirm_unseen(self, now_s: float) -> None:
         async with trio.open_nursery() as nursery:
-            for worker_id, ledger in self._parts.keeper.desk.ledgers.items():
-                if not ledger.is_current(now_s):
+            for (
+                worker_id,
+                ledger,
+            ) in self._parts.capacity_manager.allocator.ledgers.items():
+                if not ledger.accepts_work(now_s):
                     continue
-                for attempt in ledger.reservations.unseen(now_s, _UNSEEN_S):
+                for attempt in ledger.reservations.never_reported(
+                    now_s, _UNSEEN_S
+                ):
                     nursery.start_soon(self._confirm, worker_id, attempt)
 
     async def _confirm(
@@ -323,7 +328,9 @@
         except WorkerUnreachable:
             return
         if report.phase is TaskPhase.UNKNOWN:
-            self._parts.keeper.desk.release_attempt(worker_id, attempt)
+            self._parts.capacity_manager.allocator.release_attempt(
+                worker_id, attempt
+            )
 
 
 def _batch_size(worker: Worker, reserved: Demand) -> Demand:
--- a/src/marjoramwharf/programs/_class_usage.py
+++ b/src/marjoramwharf/programs/_class_usage.py
@@ -8,7 +8,7 @@
 import trio
 
 from marjoramwharf.batch.estimates import SizeEstimates
-from marjoramwharf.contracts.desk import OwnerDesk
+from marjoramwharf.contracts.allocator import CapacityAllocator
 from marjoramwharf.contracts.ledger import WorkerLedger
 from marjoramwharf.errors import WorkerUnreachable
 from marjoramwharf.ids import WorkerId
@@ -35,14 +35,14 @@
 
     def __init__(
         self,
-        desk: OwnerDesk,
+        allocator: CapacityAllocator,
         *,
         agent_of: Callable[[WorkerId], WorkerAgent | None],
         clock: Callable[[], float],
     ) -> None:
         """Start without observations."""
         self.estimates = SizeEstimates()
-        self._desk = desk
+        self._allocator = allocator
         self._agent_of = agent_of
         self._clock = clock
 
@@ -57,15 +57,15 @@
     async def run(self) -> None:
         """Poll until cancelled."""
         while True:
-            for worker_id in tuple(self._desk.ledgers):
+            for worker_id in tuple(self._allocator.ledgers):
                 await self._poll(worker_id)
                 await trio.sleep(1 / _POLLS_PER_S)
             await trio.sleep(1 / _POLLS_PER_S)
 
     async def _poll(self, worker_id: WorkerId) -> None:
         agent = self._agent_of(worker_id)
-        ledger = self._desk.ledgers.get(worker_id)
-        if agent is None or ledger is None or not ledger.reservations.held():
+        ledger = self._allocator.ledgers.get(worker_id)
+        if agent is None or ledger is None or not ledger.reservations.demands():
             return
         try:
             report = await agent.usage()
@@ -92,8 +92,8 @@
     ) -> dict[str, Demand] | None:
         """Return the declared sizes by class, ``None`` if one is unknown."""
         declared: dict[str, Demand] = {}
-        for attempt in ledger.reservations.held():
-            placement = self._desk.placement_of(attempt)
+        for attempt in ledger.reservations.demands():
+            placement = self._allocator.request_of(attempt)
             seen_at_s = ledger.reservations.seen_at_s(*attempt)
             is_usable = seen_at_s is not None and seen_at_s <= taken_at_s
             if placement is None or not is_usable:
--- a/src/marjoramwharf/programs/_ctl_notes.py
+++ b/src/marjoramwharf/programs/_ctl_notes.py
@@ -13,7 +13,7 @@
 
 from marjoramwharf.contracts.configuration import (
     Configuration,
-    ProblemsFound,
+    IncompatibleNote,
     apply_note,
 )
 from marjoramwharf.contracts.release_note import NoteFile, load_note
@@ -227,8 +227,8 @@
 def _apply(loaded: NoteFile, before: Configuration) -> Configuration:
     try:
         return apply_note(before, loaded.note)
-    except ProblemsFound as failure:
-        lines = map(loaded.locate, failure.problems)
+    except IncompatibleNote as failure:
+        lines = map(loaded.format_problem, failure.problems)
         raise BadNote(message='\n'.join(lines)) from failure
 
 
--- a/src/marjoramwharf/programs/_gauges.py
+++ b/src/marjoramwharf/programs/_gauges.py
@@ -13,8 +13,8 @@
 
 from aioprometheus.collectors import Counter, Gauge, Registry
 
-from marjoramwharf.contracts.lending import CapacityKeeper
-from marjoramwharf.contracts.note_keeper import NoteKeeper
+from marjoramwharf.contracts.lending import CapacityManager
+from marjoramwharf.contracts.note_registry import NoteRegistry
 from marjoramwharf.contracts.ownership import Ownership
 from marjoramwharf.links.store_guard import GuardedStore, StoreCounters
 from marjoramwharf.links.store_health import StoreHealth
@@ -30,10 +30,10 @@
     """The parts that are read."""
 
     store: GuardedStore
-    keeper: CapacityKeeper
+    capacity_manager: CapacityManager
     ownership: Ownership
     path: ServicePath
-    notes: NoteKeeper
+    notes: NoteRegistry
     gate: DrainGate
 
 
@@ -77,29 +77,31 @@
         )
 
     def _add_capacity(self) -> None:
-        keeper = self._parts.keeper
-        ledgers = keeper.desk.ledgers
+        capacity_manager = self._parts.capacity_manager
+        ledgers = capacity_manager.allocator.ledgers
         self._gauge(
             'grants_lent_count',
             'Grants of owned workers that are lent, to this entry too.',
             lambda: {
-                '': sum(ledger.lent_count for ledger in ledgers.values()),
+                '': sum(
+                    ledger.lent_grants_count for ledger in ledgers.values()
+                ),
             },
         )
         self._gauge(
             'grants_borrowed_count',
             'Grants in the wallet of this entry.',
-            lambda: {'': len(keeper.borrower.lenders)},
+            lambda: {'': len(capacity_manager.borrower.lenders)},
         )
         self._count(
             'grants_revoked_total',
             'Grants whose revocation a worker has acknowledged.',
-            lambda: {'': keeper.heartbeats.revoked_count},
+            lambda: {'': capacity_manager.heartbeats.revoked_count},
         )
         self._count(
             'heartbeats_failed_total',
             'Heartbeats to owned workers without a reply.',
-            lambda: {'': keeper.heartbeats.failed_count},
+            lambda: {'': capacity_manager.heartbeats.failed_count},
         )
         self._gauge(
             'owned_count',
--- a/src/marjoramwharf/programs/_job_shards.py
+++ b/src/marjoramwharf/programs/_job_shards.py
@@ -112,7 +112,7 @@
         with served.scope:
             await self._recover_and_own(shard, served.epoch)
             # The journal met the record of another owner.
-            self._ownership.lose(shard)
+            self._ownership.mark_lost(shard)
         if self._served.get(shard) is served:
             self._served.pop(shard)
         served.ended.set()
--- a/src/marjoramwharf/programs/_platform.py
+++ b/src/marjoramwharf/programs/_platform.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from marjoramwharf.contracts.lending import CapacityKeeper, assign_workers
+from marjoramwharf.contracts.lending import CapacityManager, assign_workers
 from marjoramwharf.contracts.ownership import Ownership
 from marjoramwharf.errors import BadListing, DirectoryUnavailable
 from marjoramwharf.ids import EntryId, Incarnation
@@ -79,7 +79,7 @@
     ownership: Ownership
     view: MemberView
     roster: Roster
-    keeper: CapacityKeeper
+    capacity_manager: CapacityManager
     settings: CapacitySettings
     clock: Callable[[], float]
 
@@ -96,14 +96,14 @@
         """Own the workers of the owned shards and disown the others."""
         listed = {worker.worker_id: worker for worker in self.roster.known()}
         waiting = assign_workers(
-            self.keeper,
+            self.capacity_manager,
             listed,
             self.ownership.owned,
             self.settings,
             self.clock(),
         )
         for shard in waiting:
-            await self.ownership.advance(shard)
+            await self.ownership.advance_epoch(shard)
 
     async def hand_over_all(self) -> None:
         """Free all shards on a planned stop."""
--- a/src/marjoramwharf/programs/_service_path.py
+++ b/src/marjoramwharf/programs/_service_path.py
@@ -8,10 +8,10 @@
 
 import trio
 
-from marjoramwharf.contracts.claims import Claims
+from marjoramwharf.contracts.claims import ClaimStore
 from marjoramwharf.contracts.configuration import Configuration
-from marjoramwharf.contracts.lending import CapacityKeeper
-from marjoramwharf.contracts.note_keeper import InForce
+from marjoramwharf.contracts.lending import CapacityManager
+from marjoramwharf.contracts.note_registry import ActiveConfiguration
 from marjoramwharf.contracts.permits import Permit
 from marjoramwharf.contracts.release_note import Routing
 from marjoramwharf.errors import Reason
@@ -45,9 +45,9 @@
     topology: Topology
     home: DataCentreId
     roster: Roster
-    keeper: CapacityKeeper
+    capacity_manager: CapacityManager
     agents: AgentPool
-    claims: Claims
+    claims: ClaimStore
     rng: random.Random
     clock: Callable[[], float]
 
@@ -62,7 +62,7 @@
         self._queues: dict[ServiceId, Admission] = {}
         self._latencies = LatencyBook()
         self._router = Router(
-            permits=parts.keeper.wallet,
+            permits=parts.capacity_manager.permit_pool,
             latencies=self._latencies,
             round_trip_ms=self._round_trip_ms,
             rng=parts.rng,
@@ -79,7 +79,7 @@
             RetryBudget(parts.settings.retry_budget_share, parts.clock()),
         )
         self._dispatcher = Dispatcher(self._dispatch_parts())
-        parts.keeper.on_supplied = self._on_supplied
+        parts.capacity_manager.on_refilled = self._on_supplied
 
     async def run(self) -> None:
         """Settle calls in doubt and serve the queues until cancelled."""
@@ -106,7 +106,7 @@
             return NotRun(Reason.UNKNOWN_KEY, f'no request with key {key!r}')
         return outcome
 
-    def put_in_force(self, in_force: InForce) -> None:
+    def put_in_force(self, in_force: ActiveConfiguration) -> None:
         """Follow a change of the configuration."""
         configuration: Configuration = in_force.configuration
         self.services = frozenset(
@@ -195,11 +195,11 @@
         now_s: float,
     ) -> Permit | None:
         permit = self._router.choose(service, excluded, now_s)
-        keeper = self._parts.keeper
-        if permit is None and keeper.supply(service, excluded, now_s):
+        capacity_manager = self._parts.capacity_manager
+        if permit is None and capacity_manager.refill(service, excluded, now_s):
             permit = self._router.choose(service, excluded, now_s)
         if permit is not None:
-            keeper.used(service, now_s)
+            capacity_manager.borrow_ahead(service, now_s)
         return permit
 
     def _on_supplied(self, service: ServiceId) -> None:
@@ -208,21 +208,23 @@
             queue.serve()
 
     def _release(self, permit: Permit) -> None:
-        self._parts.keeper.wallet.put_back(permit, self._parts.clock())
+        self._parts.capacity_manager.permit_pool.put_back(
+            permit, self._parts.clock()
+        )
         self._call_ended(permit)
 
     def _refused(self, permit: Permit, refusal: WorkerRefusal) -> None:
         if refusal is WorkerRefusal.LEAVING:
             self._parts.roster.report_leaving(permit.worker_id)
-        self._parts.keeper.refused(permit, refusal)
+        self._parts.capacity_manager.refused(permit, refusal)
         self._call_ended(permit)
 
     def _doubt(self, permit: Permit, call_id: CallId) -> None:
-        self._parts.keeper.wallet.mark_in_doubt(permit)
+        self._parts.capacity_manager.permit_pool.mark_in_doubt(permit)
         self.settlement.doubt(permit, call_id)
 
     def _abandon(self, permit: Permit, call_id: CallId) -> None:
-        self._parts.keeper.wallet.mark_in_doubt(permit)
+        self._parts.capacity_manager.permit_pool.mark_in_doubt(permit)
         self.settlement.abandon(permit, call_id)
 
     def _call_ended(self, permit: Permit) -> None:
--- a/src/marjoramwharf/programs/_task_placement.py
+++ b/src/marjoramwharf/programs/_task_placement.py
@@ -11,16 +11,16 @@
     PlacementIndex,
     PlacementRequest,
 )
-from marjoramwharf.contracts.borrowing import PEER_TIMEOUT_S, PeerCaller
-from marjoramwharf.contracts.desk import (
+from marjoramwharf.contracts.allocator import (
+    AttemptRequest,
+    CapacityAllocator,
     Ledgers,
-    OwnerDesk,
-    Placement,
-    has_room,
+    has_capacity,
     reservation_id,
 )
+from marjoramwharf.contracts.borrowing import PEER_TIMEOUT_S, PeerCaller
+from marjoramwharf.contracts.capacity_handlers import free_millicores
 from marjoramwharf.contracts.ledger import WorkerLedger
-from marjoramwharf.contracts.peer_desk import free_millicores
 from marjoramwharf.contracts.reservations import AttemptKey
 from marjoramwharf.errors import PeerRefused, PeerUnreachable, Reason
 from marjoramwharf.ids import EntryId, Epoch, RackId, TaskId, WorkerId
@@ -57,7 +57,7 @@
     def choose(
         self,
         ledgers: Ledgers,
-        placement: Placement,
+        placement: AttemptRequest,
         now_s: float,
     ) -> WorkerLedger | None:
         """Return a worker with room; the cost is independent of their number."""
@@ -76,7 +76,7 @@
             ledger = ledgers.get(found)
             if ledger is None:
                 self._index.remove(found)
-            elif has_room(ledger, placement, now_s):
+            elif has_capacity(ledger, placement, now_s):
                 return ledger
             else:
                 self.follow(ledger)
@@ -90,7 +90,7 @@
             self._index.remove(worker.worker_id)
             return
         self._index.add(worker, self._reserved_of(worker))
-        for attempt, demand in ledger.reservations.held().items():
+        for attempt, demand in ledger.reservations.demands().items():
             task_id = attempt[0]
             self._index.hold(
                 worker.worker_id,
@@ -114,7 +114,7 @@
     def __init__(
         self,
         entry_id: EntryId,
-        desk: OwnerDesk,
+        allocator: CapacityAllocator,
         *,
         peers: Callable[[], Mapping[EntryId, PeerCaller]],
         owner_of: Callable[[WorkerId], EntryId | None],
@@ -124,7 +124,7 @@
     ) -> None:
         """Start without knowledge of the peers' free processors."""
         self._entry_id = entry_id
-        self._desk = desk
+        self._allocator = allocator
         self._peers = peers
         self._owner_of = owner_of
         self._sizes = sizes
@@ -134,7 +134,7 @@
 
     def count_own(self) -> None:
         """Take over the free processors of the own workers."""
-        self._free_millicores[self._entry_id] = free_millicores(self._desk)
+        self._free_millicores[self._entry_id] = free_millicores(self._allocator)
 
     def summary_received(self, sender: EntryId, news: Message) -> None:
         """Take over the free processors of a peer's workers."""
@@ -167,7 +167,7 @@
         worker_id = WorkerId(reservation.rpartition('@')[2])
         owner = self._owner_of(worker_id)
         if owner == self._entry_id:
-            self._desk.release(reservation)
+            self._allocator.release(reservation)
             return
         peer = None if owner is None else self._peers().get(owner)
         if peer is None:
@@ -213,7 +213,7 @@
             return None
 
     def _reserve_here(self, ask: ReservationAsk) -> Reservation:
-        placement = Placement(
+        placement = AttemptRequest(
             task_id=ask.task_id,
             fence=ask.fence,
             demand=ask.demand,
@@ -222,7 +222,7 @@
             avoid_workers=ask.avoid_workers,
             declared=ask.declared,
         )
-        ledger = self._desk.reserve(placement, self._now())
+        ledger = self._allocator.reserve(placement, self._now())
         worker_id = ledger.worker.worker_id
         return Reservation(
             worker_id,
--- a/src/marjoramwharf/programs/_task_reports.py
+++ b/src/marjoramwharf/programs/_task_reports.py
@@ -16,8 +16,8 @@
 from marjoramwharf.batch.runner import Runner
 from marjoramwharf.batch.settling import RUNNING_PHASES
 from marjoramwharf.contracts.borrowing import PEER_TIMEOUT_S, PeerCaller
+from marjoramwharf.contracts.capacity_handlers import demand_of
 from marjoramwharf.contracts.ownership import OwnerRecord
-from marjoramwharf.contracts.peer_desk import demand_of
 from marjoramwharf.errors import PeerRefused, PeerUnreachable
 from marjoramwharf.ids import EntryId, Epoch, ShardId, TaskId, WorkerId
 from marjoramwharf.links.peer_messages import Message, PeerIdentity
--- a/src/marjoramwharf/programs/entry.py
+++ b/src/marjoramwharf/programs/entry.py
@@ -21,13 +21,13 @@
 from hypercorn.trio import serve as serve_http
 from quart_trio import QuartTrio
 
-from marjoramwharf.contracts.claims import Claims
-from marjoramwharf.contracts.desk import OwnerDesk
-from marjoramwharf.contracts.lending import CapacityKeeper
+from marjoramwharf.contracts.allocator import CapacityAllocator
+from marjoramwharf.contracts.claims import ClaimStore
+from marjoramwharf.contracts.lending import CapacityManager
 from marjoramwharf.contracts.note_api import bearer_check, note_blueprint
-from marjoramwharf.contracts.note_keeper import NoteKeeper
+from marjoramwharf.contracts.note_registry import NoteRegistry
 from marjoramwharf.contracts.ownership import Ownership
-from marjoramwharf.contracts.wallet import Wallet
+from marjoramwharf.contracts.permit_pool import PermitPool
 from marjoramwharf.errors import BadSettings
 from marjoramwharf.ids import Incarnation, WorkerId, random_id
 from marjoramwharf.links.directory import DirectoryClient, open_directory
@@ -101,7 +101,7 @@
         self.gauges = Gauges(
             GaugeParts(
                 store=self.store,
-                keeper=self.keeper,
+                capacity_manager=self.capacity_manager,
                 ownership=self.ownership,
                 path=self.path,
                 notes=self.notes,
@@ -149,7 +149,7 @@
             'state': self.gate.state.value,
             'revision': self.notes.current.revision,
             'store': self.store.health.value,
-            'owned_workers': len(self.keeper.desk.ledgers),
+            'owned_workers': len(self.capacity_manager.allocator.ledgers),
             'known_workers': len(self.roster.known()),
             'in_flight': self.gate.in_flight_count,
             'waiting': self.path.waiting_count(),
@@ -182,28 +182,28 @@
     def _make_capacity(self) -> None:
         settings = self.settings
         self.ownership = _ownership(self.store, self, '/own/capacity')
-        self.keeper = CapacityKeeper(
+        self.capacity_manager = CapacityManager(
             self.identity,
             settings.capacity,
-            Wallet(self._services_of),
-            desk=OwnerDesk(),
+            PermitPool(self._services_of),
+            allocator=CapacityAllocator(),
             agent_of=self.agents.agent_of,
             peers=self.peers.clients,
             rng=self.rng,
         )
-        self.keeper.borrower.close_connections = self.agents.close
+        self.capacity_manager.borrower.close_connections = self.agents.close
         self.shards = ShardFollower(
             ownership=self.ownership,
             view=self.members,
             roster=self.roster,
-            keeper=self.keeper,
+            capacity_manager=self.capacity_manager,
             settings=settings.capacity,
             clock=trio.current_time,
         )
 
     def _make_service(self) -> None:
         settings = self.settings
-        self.notes = NoteKeeper(
+        self.notes = NoteRegistry(
             self.store,
             entry=settings.identity,
             now_ms=lambda: int(time.time() * _MS_PER_S),
@@ -214,9 +214,9 @@
                 topology=build_topology(settings.topology),
                 home=settings.home,
                 roster=self.roster,
-                keeper=self.keeper,
+                capacity_manager=self.capacity_manager,
                 agents=self.agents,
-                claims=Claims(
+                claims=ClaimStore(
                     self.store,
                     ttl_s=settings.service.claim_ttl_s,
                     body_limit_bytes=settings.service.claim_body_bytes,
@@ -255,7 +255,7 @@
                 capacity_ownership=self.ownership,
                 view=self.members,
                 roster=self.roster,
-                keeper=self.keeper,
+                capacity_manager=self.capacity_manager,
                 agents=self.agents,
                 peers=self.peers.clients,
                 gate=self.gate,
@@ -296,7 +296,7 @@
 async def _start(entry: Entry, nursery: trio.Nursery) -> None:
     """Start the tasks in the order in which they need each other."""
     listen = entry.settings.listen
-    handlers = entry.keeper.handlers()
+    handlers = entry.capacity_manager.handlers()
     entry.batch.add_handlers(handlers)
     server = PeerServer(
         handlers,
@@ -311,7 +311,7 @@
             host=listen.host,
         ),
     )
-    await nursery.start(entry.keeper.run)
+    await nursery.start(entry.capacity_manager.run)
     nursery.start_soon(entry.path.run)
     nursery.start_soon(_serve_app, entry)
     await nursery.start(entry.list_follower.run)
@@ -335,7 +335,7 @@
         timeout_s=entry.settings.shutdown.drain_timeout_s,
     )
     with trio.move_on_after(_HTTP_GRACE_S):
-        await entry.keeper.stop()
+        await entry.capacity_manager.stop()
         await entry.shards.hand_over_all()
         await entry.registration.withdraw()
     _log.info('stopped', is_empty=is_empty)
--- a/src/marjoramwharf/service/_claimed.py
+++ b/src/marjoramwharf/service/_claimed.py
@@ -8,10 +8,10 @@
 
 from marjoramwharf.contracts.claim_values import (
     Claim,
+    ClaimExists,
+    ClaimHeld,
     ClaimOutcome,
-    Found,
-    Gone,
-    Held,
+    ClaimWithdrawn,
 )
 from marjoramwharf.contracts.claims import request_digest
 from marjoramwharf.contracts.permits import Permit
@@ -104,12 +104,12 @@
         except BaseException:
             self._attempts.give_up(permit)
             raise
-        if isinstance(claimed, Held):
+        if isinstance(claimed, ClaimHeld):
             return await self._run(request, key, permit, claimed.claim)
         self._attempts.give_up(permit)
-        if isinstance(claimed, Found):
+        if isinstance(claimed, ClaimExists):
             return await self._resolve(request, key, claimed.claim)
-        if isinstance(claimed, Gone):
+        if isinstance(claimed, ClaimWithdrawn):
             return NotRun(Reason.WORKER_REFUSED, 'the claim was withdrawn', 1)
         if open_claim is None:
             return _unclaimed(request, key, claimed)
--- a/src/marjoramwharf/service/dispatch_parts.py
+++ b/src/marjoramwharf/service/dispatch_parts.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from marjoramwharf.contracts.claims import Claims
+from marjoramwharf.contracts.claims import ClaimStore
 from marjoramwharf.contracts.permits import Permit
 from marjoramwharf.ids import CallId, ServiceId, WorkerId
 from marjoramwharf.machines.calls import WorkerRefusal
@@ -46,7 +46,7 @@
     doubt: Callable[[Permit, CallId], None]
     abandon: Callable[[Permit, CallId], None]
     agent_of: AgentOf
-    claims: Claims
+    claims: ClaimStore
     policy: RetryPolicy
     health: WorkerHealth
     clock: Callable[[], float]
--- a/src/marjoramwharf/service/settlement.py
+++ b/src/marjoramwharf/service/settlement.py
@@ -18,7 +18,7 @@
 import trio
 
 from marjoramwharf.contracts.claim_values import Claim, ClaimRecord
-from marjoramwharf.contracts.claims import Claims
+from marjoramwharf.contracts.claims import ClaimStore
 from marjoramwharf.contracts.permits import Permit
 from marjoramwharf.errors import Failure, Reason, WorkerUnreachable
 from marjoramwharf.ids import CallId, TeamId, WorkerId
@@ -156,7 +156,7 @@
     claim: Claim,
     outcome_key: str,
     *,
-    claims: Claims,
+    claims: ClaimStore,
     agent_of: AgentOf,
     rng: random.Random,
     timeout_s: float,
@@ -198,7 +198,7 @@
     team: TeamId,
     key: str,
     *,
-    claims: Claims,
+    claims: ClaimStore,
     agent_of: AgentOf,
     rng: random.Random,
     timeout_s: float,
@@ -234,7 +234,7 @@
 
 async def withdraw_claim(
     claim: Claim,
-    claims: Claims,
+    claims: ClaimStore,
     not_run: NotRun,
     outcome_key: str,
 ) -> NotRun | Unknown:
--- a/tests/contracts/lending_model.py
+++ b/tests/contracts/lending_model.py
@@ -15,8 +15,8 @@
 )
 
 from marjoramwharf.contracts.ledger import WorkerLedger
+from marjoramwharf.contracts.permit_pool import PermitPool
 from marjoramwharf.contracts.permits import Grant, Permit
-from marjoramwharf.contracts.wallet import Wallet
 from marjoramwharf.ids import (
     CallId,
     DataCentreId,
@@ -32,7 +32,7 @@
 from marjoramwharf.machines.worker import Capacity, Worker
 
 SERVICE = ServiceId('notices')
-SESSION_SIZE = 5
+CONNECTIONS_PER_SESSION = 5
 WORKER = Worker(
     worker_id=WorkerId('w1'),
     url='http://127.0.0.1:1',
@@ -45,9 +45,9 @@
 FEW_CONNECTIONS = replace(WORKER, capacity=Capacity(8, 6, 4000, 8000, 1))
 
 
-def make_wallet() -> Wallet:
+def make_wallet() -> PermitPool:
     """Return an empty wallet that knows the worker."""
-    return Wallet(lambda _worker: WORKER.services)
+    return PermitPool(lambda _worker: WORKER.services)
 
 
 class ModelWorker:
@@ -65,7 +65,7 @@
         if permit.epoch < self.epoch or permit.grant_id in self.revoked:
             return False
         self.running[call_id] = (permit.grant_id, sender)
-        self.connections[sender] = SESSION_SIZE
+        self.connections[sender] = CONNECTIONS_PER_SESSION
         return True
 
     def lease(self, epoch: Epoch, revoked: list[GrantId]) -> LeaseReply:
@@ -150,7 +150,7 @@
             self.worker_values,
             epoch,
             grant_ttl_s=3,
-            session_size=SESSION_SIZE,
+            connections_per_session=CONNECTIONS_PER_SESSION,
         )
         return Owner(ledger)
 
@@ -178,8 +178,8 @@
         self.now_s += seconds
         self.heartbeat(-1, fate)
         if sweep:
-            for wallet in self.wallets.values():
-                wallet.sweep(self.now_s)
+            for permit_pool in self.wallets.values():
+                permit_pool.drop_expired(self.now_s)
 
     @rule(pick=_PICK, name=_NAMES, slots=st.integers(1, 2), fate=_FATES)
     def borrow(self, pick: int, name: EntryId, slots: int, fate: str) -> None:
@@ -217,7 +217,7 @@
     def call(self, name: EntryId, late: bool) -> None:
         """Take two permits; the calls may be sent much later."""
         for _ in range(2):
-            permit = self.wallets[name].choose(
+            permit = self.wallets[name].take_random(
                 SERVICE,
                 self.now_s,
                 rng=self.rng,
@@ -242,7 +242,7 @@
             self.wallets[sent.sender].put_back(sent.permit, self.now_s)
 
     @precondition(lambda machine: machine.worker.running)
-    @rule(pick=_PICK, settled=st.booleans())
+    @rule(pick=_PICK, release_in_doubt=st.booleans())
     def finish(self, pick: int, settled: bool) -> None:
         """End one call or all, and perhaps tell the borrowers."""
         names = list(self.worker.running)
@@ -259,13 +259,15 @@
         for sent in tuple(self.doubts):
             if sent.call_id not in self.worker.running:
                 self.doubts.remove(sent)
-                self.wallets[sent.sender].settled(sent.permit, self.now_s)
+                self.wallets[sent.sender].release_in_doubt(
+                    sent.permit, self.now_s
+                )
 
     @rule(name=_NAMES, pick=_PICK)
     def renew(self, name: EntryId, pick: int) -> None:
         """Renew the grants of a borrower at one owner."""
         ledger = self._pick_owner(pick).ledger
-        for grant_id in self.wallets[name].renewable():
+        for grant_id in self.wallets[name].renewable_grants():
             renewed = ledger.renew(name, grant_id)
             if isinstance(renewed, Grant):
                 self.wallets[name].renew(grant_id, renewed.expires_at_s)
@@ -273,13 +275,13 @@
     @rule(name=_NAMES, lost=st.booleans())
     def give_back(self, name: EntryId, lost: bool) -> None:
         """Return the free permits; a lost return must not free twice."""
-        wallet = self.wallets[name]
-        shares = wallet.idle(self.now_s, idle_after_s=0)
-        if not wallet.renewable() and not self._has_call(name):
+        permit_pool = self.wallets[name]
+        shares = permit_pool.withdraw_idle(self.now_s, idle_after_s=0)
+        if not permit_pool.renewable_grants() and not self._has_call(name):
             self.worker.connections[name] = 0
         for share in shares:
             if lost:
-                wallet.return_failed((share.grant_id,))
+                permit_pool.mark_return_failed((share.grant_id,))
                 continue
             for owner in self.owners:
                 owner.ledger.give_back(name, share.grant_id, share.slots_count)
@@ -298,7 +300,7 @@
         """Reach the worker; the reply is processed now, later or never."""
         owner = self._pick_owner(pick)
         if owner.pending is None:
-            revoked = owner.ledger.expired(self.now_s)
+            revoked = owner.ledger.start_revocations(self.now_s)
             reply = self.worker.lease(owner.ledger.epoch, revoked)
             owner.pending = (reply, revoked, self.now_s)
             if fate == 'received':
@@ -318,10 +320,10 @@
         reply, revoked, sent_at_s = pending
         if reply.epoch == owner.ledger.epoch:
             if owner.ledger.fenced:
-                owner.ledger.revocation_acknowledged(revoked, reply.running)
-                owner.ledger.report(reply, sent_at_s)
+                owner.ledger.record_revocations(revoked, reply.running)
+                owner.ledger.record_report(reply, sent_at_s)
             else:
-                owner.ledger.fence_acknowledged(reply, sent_at_s)
+                owner.ledger.record_fence(reply, sent_at_s)
 
     @rule()
     def take_over(self) -> None:
--- a/tests/contracts/keepers.py
+++ b/tests/contracts/note_registries.py
@@ -8,7 +8,7 @@
 import trio
 from trio.testing import MockClock
 
-from marjoramwharf.contracts.note_keeper import NoteKeeper
+from marjoramwharf.contracts.note_registry import NoteRegistry
 from marjoramwharf.contracts.release_note import ReleaseNote
 from marjoramwharf.ids import EntryId
 from marjoramwharf.logs import configure_logs
@@ -25,13 +25,13 @@
     return round(trio.current_time() * 1000)
 
 
-def keeper_on(
+def registry_on(
     store: MemoryStore,
     name: str = 'entry-1',
     now_ms: Callable[[], int] = _mock_now_ms,
-) -> NoteKeeper:
+) -> NoteRegistry:
     """Return a keeper with a fixed jitter."""
-    return NoteKeeper(
+    return NoteRegistry(
         store,
         entry=EntryId(name),
         now_ms=now_ms,
--- a/tests/contracts/test_claims.py
+++ b/tests/contracts/test_claims.py
@@ -10,12 +10,12 @@
 
 from marjoramwharf.contracts.claim_values import (
     Claim,
+    ClaimExists,
+    ClaimHeld,
     ClaimOutcome,
-    Found,
-    Gone,
-    Held,
+    ClaimWithdrawn,
 )
-from marjoramwharf.contracts.claims import Claims, request_digest
+from marjoramwharf.contracts.claims import ClaimStore, request_digest
 from marjoramwharf.errors import StoreUnavailable
 from marjoramwharf.ids import CallId, Incarnation, TeamId, WorkerId
 from marjoramwharf.machines.calls import CallAnswer
@@ -23,10 +23,10 @@
 
 _TEAM = TeamId('notices')
 _TTL_S = 600
-_Body = Callable[[Claims, MemoryStore], Awaitable[None]]
+_Body = Callable[[ClaimStore, MemoryStore], Awaitable[None]]
 
 
-async def _create(claims: Claims, key: str, call_id: str) -> ClaimOutcome:
+async def _create(claims: ClaimStore, key: str, call_id: str) -> ClaimOutcome:
     return await claims.create(
         _TEAM,
         key,
@@ -37,9 +37,9 @@
     )
 
 
-async def _hold(claims: Claims, key: str, call_id: str) -> Claim:
+async def _hold(claims: ClaimStore, key: str, call_id: str) -> Claim:
     held = await _create(claims, key, call_id)
-    assert isinstance(held, Held), held
+    assert isinstance(held, ClaimHeld), held
     return held.claim
 
 
@@ -52,7 +52,7 @@
     def test_waiting_claims_share_a_commit(self) -> None:
         """Guards against one store write for each request."""
 
-        async def body(claims: Claims, store: MemoryStore) -> None:
+        async def body(claims: ClaimStore, store: MemoryStore) -> None:
             store.delay_s = 0.01
             async with trio.open_nursery() as nursery:
                 for number in range(40):
@@ -65,7 +65,7 @@
     def test_conflict_in_a_group_harms_only_its_own_claim(self) -> None:
         """Guards against a group that fails as a whole."""
 
-        async def body(claims: Claims, store: MemoryStore) -> None:
+        async def body(claims: ClaimStore, store: MemoryStore) -> None:
             await _hold(claims, 'k1', 'first')
             store.delay_s = 0.01
             seen: dict[str, ClaimOutcome] = {}
@@ -77,17 +77,17 @@
                 for key in ('k1', 'k2', 'k3'):
                     nursery.start_soon(create, key)
             found = seen.pop('k1')
-            assert isinstance(found, Found)
+            assert isinstance(found, ClaimExists)
             self.assertEqual(found.claim.record.call_id, 'first')
             for outcome in seen.values():
-                self.assertIsInstance(outcome, Held)
+                self.assertIsInstance(outcome, ClaimHeld)
 
         _with_claims(body)
 
     def test_lost_answers_are_settled_by_reading(self) -> None:
         """Guards against a claim that its own writer takes for another's."""
 
-        async def body(claims: Claims, store: MemoryStore) -> None:
+        async def body(claims: ClaimStore, store: MemoryStore) -> None:
             store.answers_to_lose = 1
             claim = await _hold(claims, 'k', 'first')
             self.assertEqual(claim, await claims.look_up(_TEAM, 'k'))
@@ -102,7 +102,7 @@
     def test_outage_is_a_failure_and_later_claims_succeed(self) -> None:
         """Guards against a dispatch without a claim."""
 
-        async def body(claims: Claims, store: MemoryStore) -> None:
+        async def body(claims: ClaimStore, store: MemoryStore) -> None:
             store.is_down = True
             with self.assertRaises(StoreUnavailable):
                 await _create(claims, 'k', 'c')
@@ -114,7 +114,7 @@
     def test_one_of_two_takes_over(self) -> None:
         """Guards against two runs of a call that proved never to run."""
 
-        async def body(claims: Claims, _store: MemoryStore) -> None:
+        async def body(claims: ClaimStore, _store: MemoryStore) -> None:
             former = await _hold(claims, 'k', 'first')
             await _take_over(claims, former)
             self.assertIsInstance(
@@ -124,7 +124,7 @@
                     call_id=CallId('third'),
                     incarnation=INCARNATION,
                 ),
-                Found,
+                ClaimExists,
             )
             self.assertFalse(await claims.withdraw(former))
 
@@ -133,7 +133,7 @@
     def test_withdrawn_claim_is_not_taken_over(self) -> None:
         """Guards against a run after a caller was told "not run"."""
 
-        async def body(claims: Claims, _store: MemoryStore) -> None:
+        async def body(claims: ClaimStore, _store: MemoryStore) -> None:
             claim = await _hold(claims, 'k', 'first')
             self.assertTrue(await claims.withdraw(claim))
             outcome = await claims.take_over(
@@ -142,20 +142,20 @@
                 call_id=CallId('second'),
                 incarnation=INCARNATION,
             )
-            self.assertIsInstance(outcome, Gone)
+            self.assertIsInstance(outcome, ClaimWithdrawn)
 
         _with_claims(body)
 
     def test_answer_is_kept_through_an_outage(self) -> None:
         """Guards against a completion that is dropped when the store fails."""
 
-        async def body(claims: Claims, store: MemoryStore) -> None:
+        async def body(claims: ClaimStore, store: MemoryStore) -> None:
             claim = await _hold(claims, 'k', 'c')
             store.is_down = True
             claims.complete(claim, _answer(b'whole'))
             await trio.sleep(60)
             store.is_down = False
-            await claims.drained()
+            await claims.wait_until_drained()
             done = await claims.look_up(_TEAM, 'k')
             assert done is not None
             self.assertEqual(
@@ -167,10 +167,10 @@
     def test_large_answer_keeps_its_digest_only(self) -> None:
         """Guards against values beyond the store's limit."""
 
-        async def body(claims: Claims, _store: MemoryStore) -> None:
+        async def body(claims: ClaimStore, _store: MemoryStore) -> None:
             claim = await _hold(claims, 'k', 'c')
             claims.complete(claim, _answer(bytes(101)))
-            await claims.drained()
+            await claims.wait_until_drained()
             done = await claims.look_up(_TEAM, 'k')
             assert done is not None
             self.assertIsNone(done.record.body)
@@ -181,7 +181,7 @@
     def test_claims_share_leases_and_lapse(self) -> None:
         """Guards against one lease for each claim and endless growth."""
 
-        async def body(claims: Claims, store: MemoryStore) -> None:
+        async def body(claims: ClaimStore, store: MemoryStore) -> None:
             for number in range(20):
                 await _hold(claims, f'k{number}', 'c')
                 await trio.sleep(3)
@@ -198,7 +198,7 @@
     def test_lost_lease_is_replaced(self) -> None:
         """Guards against claims that fail for good after a lease is gone."""
 
-        async def body(claims: Claims, store: MemoryStore) -> None:
+        async def body(claims: ClaimStore, store: MemoryStore) -> None:
             await _hold(claims, 'k1', 'c')
             store.state.expire_all_leases()
             with self.assertRaises(StoreUnavailable):
@@ -215,14 +215,14 @@
         )
 
 
-async def _take_over(claims: Claims, claim: Claim) -> Claim:
+async def _take_over(claims: ClaimStore, claim: Claim) -> Claim:
     held = await claims.take_over(
         claim,
         worker_id=WorkerId('w2'),
         call_id=CallId('second'),
         incarnation=INCARNATION,
     )
-    assert isinstance(held, Held), held
+    assert isinstance(held, ClaimHeld), held
     return held.claim
 
 
@@ -233,7 +233,7 @@
 def _with_claims(body: _Body) -> None:
     async def main() -> None:
         store = MemoryStore()
-        claims = Claims(
+        claims = ClaimStore(
             store,
             ttl_s=_TTL_S,
             body_limit_bytes=100,
--- a/tests/contracts/test_ledger.py
+++ b/tests/contracts/test_ledger.py
@@ -8,7 +8,7 @@
 from marjoramwharf.contracts.permits import Grant
 from marjoramwharf.ids import EntryId, Epoch, GrantId, Incarnation
 from marjoramwharf.machines.calls import LeaseReply
-from tests.contracts.lending_model import SESSION_SIZE, WORKER
+from tests.contracts.lending_model import CONNECTIONS_PER_SESSION, WORKER
 
 _E1 = EntryId('e1')
 _E2 = EntryId('e2')
@@ -23,16 +23,16 @@
             WORKER,
             Epoch(1),
             grant_ttl_s=3,
-            session_size=SESSION_SIZE,
+            connections_per_session=CONNECTIONS_PER_SESSION,
         )
         reply = LeaseReply(Epoch(1), False, (), (), ())
-        self.ledger.fence_acknowledged(reply, 0)
+        self.ledger.record_fence(reply, 0)
         self.grant_id = self._lend()
 
     def test_no_renewal_after_revocation_began(self) -> None:
         """Guards against a renewed grant that the worker refuses."""
         self.assertIsInstance(self.ledger.renew(_E1, self.grant_id), Grant)
-        self.assertEqual(self.ledger.expired(3), [self.grant_id])
+        self.assertEqual(self.ledger.start_revocations(3), [self.grant_id])
         outcome = self.ledger.renew(_E1, self.grant_id)
         self.assertIsInstance(outcome, NoCapacity)
 
--- a/tests/contracts/test_lending.py
+++ b/tests/contracts/test_lending.py
@@ -12,8 +12,8 @@
 import trio
 from trio.testing import MockClock
 
-from marjoramwharf.contracts.desk import OwnerDesk
-from marjoramwharf.contracts.lending import CapacityKeeper, assign_workers
+from marjoramwharf.contracts.allocator import CapacityAllocator
+from marjoramwharf.contracts.lending import CapacityManager, assign_workers
 from marjoramwharf.contracts.permits import Permit
 from marjoramwharf.errors import (
     PeerRefused,
@@ -89,8 +89,8 @@
             raise PeerUnreachable(message='cut')
         await trio.sleep(_DELAY_S)
         self._region.messages_count += 1
-        keeper = self._region.keepers[self._receiver]
-        handle = keeper.handlers()[type(message)]
+        capacity_manager = self._region.managers[self._receiver]
+        handle = capacity_manager.handlers()[type(message)]
         reply = await handle(self._sender, message)
         await trio.sleep(_DELAY_S)
         return reply
@@ -104,42 +104,42 @@
         self.messages_count = 0
         self.agent = _Agent()
         self.superseded: list[WorkerId] = []
-        self.keepers: dict[str, CapacityKeeper] = {}
+        self.managers: dict[str, CapacityManager] = {}
         for name, other in (('e1', 'e2'), ('e2', 'e1')):
-            self.keepers[name] = self._keeper(name, other)
+            self.managers[name] = self._capacity_manager(name, other)
 
     async def acquire(self, name: str) -> Permit | None:
         """Ask one entry for a permit."""
         now_s = trio.current_time()
-        return await self.keepers[name].acquire(SERVICE, (), now_s)
+        return await self.managers[name].acquire(SERVICE, (), now_s)
 
     def send(self, name: str, permit: Permit) -> bool:
         """Run a call at the worker."""
         call_id = CallId(f'{name}/{permit.serial}')
         return self.agent.worker.accept(call_id, permit, EntryId(name))
 
-    def _keeper(self, name: str, other: str) -> CapacityKeeper:
+    def _capacity_manager(self, name: str, other: str) -> CapacityManager:
         peers = {EntryId(other): _Peer(self, name, other)}
-        keeper = CapacityKeeper(
+        capacity_manager = CapacityManager(
             _identity(name),
             CapacitySettings(),
             make_wallet(),
-            desk=OwnerDesk(),
+            allocator=CapacityAllocator(),
             agent_of=lambda _worker_id: self.agent,  # type: ignore[arg-type, return-value]
             peers=lambda: peers,
             rng=random.Random(1),
         )
-        keeper.heartbeats.on_superseded = self.superseded.append
-        return keeper
+        capacity_manager.heartbeats.on_superseded = self.superseded.append
+        return capacity_manager
 
 
 @asynccontextmanager
 async def _region() -> AsyncIterator[_Region]:
     region = _Region()
     async with trio.open_nursery() as nursery:
-        for keeper in region.keepers.values():
-            await nursery.start(keeper.run)
-        region.keepers['e1'].own(_WORKER, Epoch(1))
+        for capacity_manager in region.managers.values():
+            await nursery.start(capacity_manager.run)
+        region.managers['e1'].own(_WORKER, Epoch(1))
         await trio.sleep(2.5)
         yield region
         nursery.cancel_scope.cancel()
@@ -167,8 +167,8 @@
             region = _Region()
             region.agent.is_reachable = False
             async with trio.open_nursery() as nursery:
-                await nursery.start(region.keepers['e1'].run)
-                region.keepers['e1'].own(_WORKER, Epoch(1))
+                await nursery.start(region.managers['e1'].run)
+                region.managers['e1'].own(_WORKER, Epoch(1))
                 await trio.sleep(5)
                 self.assertIsNone(await region.acquire('e1'))
                 nursery.cancel_scope.cancel()
@@ -192,13 +192,13 @@
 
         async def scenario() -> None:
             async with _region() as region:
-                ledger = region.keepers['e1'].desk.ledgers[_WORKER_ID]
-                wallet = region.keepers['e2'].wallet
+                ledger = region.managers['e1'].allocator.ledgers[_WORKER_ID]
+                permit_pool = region.managers['e2'].permit_pool
                 for _ in range(8):
                     permit = await region.acquire('e2')
                     assert permit is not None
                     await trio.sleep(1)
-                    wallet.put_back(permit, trio.current_time())
+                    permit_pool.put_back(permit, trio.current_time())
                 # One slot was in use of late and two are kept in reserve.
                 self.assertEqual(ledger.free_slots_count, 5)
                 await trio.sleep(6)
@@ -218,7 +218,7 @@
                 await trio.sleep(6)
                 self.assertIsNone(await region.acquire('e2'))
                 self.assertFalse(region.send('e2', permit))
-                ledger = region.keepers['e1'].desk.ledgers[_WORKER_ID]
+                ledger = region.managers['e1'].allocator.ledgers[_WORKER_ID]
                 self.assertEqual(ledger.free_slots_count, 8)
 
         _run(scenario)
@@ -236,7 +236,7 @@
                 await trio.sleep(1.2)
                 region.is_cut = False
                 await trio.sleep(6)
-                ledger = region.keepers['e1'].desk.ledgers[_WORKER_ID]
+                ledger = region.managers['e1'].allocator.ledgers[_WORKER_ID]
                 self.assertEqual(ledger.free_slots_count, 7)
 
         _run(scenario)
@@ -248,7 +248,7 @@
             async with _region() as region:
                 permit = await region.acquire('e2')
                 assert permit is not None
-                ledger = region.keepers['e1'].desk.ledgers[_WORKER_ID]
+                ledger = region.managers['e1'].allocator.ledgers[_WORKER_ID]
                 ends_at_s = ledger.reported_at_s + 3
                 self.assertLessEqual(permit.expires_at_s, ends_at_s)
 
@@ -264,7 +264,7 @@
                 self.assertTrue(region.send('e2', permit))
                 region.is_cut = True
                 await trio.sleep(6)
-                ledger = region.keepers['e1'].desk.ledgers[_WORKER_ID]
+                ledger = region.managers['e1'].allocator.ledgers[_WORKER_ID]
                 self.assertEqual(ledger.free_slots_count, 7)
 
         _run(scenario)
@@ -317,7 +317,7 @@
                 region.agent.worker.lease(Epoch(2), [])
                 await trio.sleep(1.1)
                 self.assertEqual(region.superseded, [_WORKER_ID])
-                self.assertEqual(region.keepers['e1'].desk.ledgers, {})
+                self.assertEqual(region.managers['e1'].allocator.ledgers, {})
 
         _run(scenario)
 
@@ -328,9 +328,11 @@
             async with _region() as region:
                 permit = await region.acquire('e2')
                 assert permit is not None
-                keeper = region.keepers['e2']
-                keeper.refused(permit, WorkerRefusal.REVOKED_GRANT)
-                self.assertEqual(keeper.wallet.renewable(), [])
+                capacity_manager = region.managers['e2']
+                capacity_manager.refused(permit, WorkerRefusal.REVOKED_GRANT)
+                self.assertEqual(
+                    capacity_manager.permit_pool.renewable_grants(), []
+                )
 
         _run(scenario)
 
@@ -340,15 +342,15 @@
         async def scenario() -> None:
             async with _region() as region:
                 self.assertIsNotNone(await region.acquire('e2'))
-                desk = region.keepers['e1'].desk
+                allocator = region.managers['e1'].allocator
                 wants = [(_WORKER_ID, 1)]
                 again = Incarnation('e2-2')
                 name = EntryId('e2')
                 now_s = trio.current_time()
-                self.assertEqual(desk.lend(name, again, wants, now_s), [])
+                self.assertEqual(allocator.lend(name, again, wants, now_s), [])
                 await trio.sleep(2.1)
                 now_s = trio.current_time()
-                self.assertTrue(desk.lend(name, again, wants, now_s))
+                self.assertTrue(allocator.lend(name, again, wants, now_s))
 
         _run(scenario)
 
@@ -374,20 +376,20 @@
 
         async def scenario() -> None:
             async with _region() as region:
-                keeper = region.keepers['e1']
+                capacity_manager = region.managers['e1']
                 listed = {_WORKER_ID: _WORKER}
                 shards = {ShardId(0): Epoch(1)}
-                self.assertFalse(_assign(keeper, {}, shards))
-                self.assertIn(_WORKER_ID, keeper.desk.ledgers)
+                self.assertFalse(_assign(capacity_manager, {}, shards))
+                self.assertIn(_WORKER_ID, capacity_manager.allocator.ledgers)
                 region.agent.is_reachable = False
                 await trio.sleep(12)
-                _assign(keeper, {}, shards)
-                self.assertNotIn(_WORKER_ID, keeper.desk.ledgers)
-                waiting = _assign(keeper, listed, shards)
+                _assign(capacity_manager, {}, shards)
+                self.assertNotIn(_WORKER_ID, capacity_manager.allocator.ledgers)
+                waiting = _assign(capacity_manager, listed, shards)
                 self.assertEqual(waiting, {ShardId(0)})
                 shards[ShardId(0)] = Epoch(2)
-                self.assertFalse(_assign(keeper, listed, shards))
-                self.assertIn(_WORKER_ID, keeper.desk.ledgers)
+                self.assertFalse(_assign(capacity_manager, listed, shards))
+                self.assertIn(_WORKER_ID, capacity_manager.allocator.ledgers)
 
         _run(scenario)
 
@@ -397,13 +399,13 @@
 
 
 def _assign(
-    keeper: CapacityKeeper,
+    capacity_manager: CapacityManager,
     listed: dict[WorkerId, Worker],
     shards: dict[ShardId, Epoch],
 ) -> frozenset[ShardId]:
     settings = CapacitySettings(shard_count=1)
     now_s = trio.current_time()
-    return assign_workers(keeper, listed, shards, settings, now_s)
+    return assign_workers(capacity_manager, listed, shards, settings, now_s)
 
 
 def _reserve(task_id: str) -> Message:
--- a/tests/contracts/test_lending_model.py
+++ b/tests/contracts/test_lending_model.py
@@ -28,8 +28,8 @@
 class _FreesExpired(WorkerLedger):
     """Frees an expired grant without a revocation at the worker."""
 
-    def expired(self, now_s: float) -> list[GrantId]:
-        self.revocation_acknowledged(super().expired(now_s), ())
+    def start_revocations(self, now_s: float) -> list[GrantId]:
+        self.record_revocations(super().start_revocations(now_s), ())
         return []
 
 
@@ -53,9 +53,9 @@
 class _FreesSessionsEarly(WorkerLedger):
     """Frees a session while the worker still reports its connections."""
 
-    def report(self, reply: LeaseReply, sent_at_s: float) -> None:
+    def record_report(self, reply: LeaseReply, sent_at_s: float) -> None:
         without = LeaseReply(reply.epoch, False, reply.running, (), ())
-        super().report(without, sent_at_s)
+        super().record_report(without, sent_at_s)
 
 
 class _FewConnections(LendingMachine):
--- a/tests/contracts/test_note_api.py
+++ b/tests/contracts/test_note_api.py
@@ -16,7 +16,7 @@
     bearer_check,
     note_blueprint,
 )
-from marjoramwharf.contracts.note_keeper import NoteKeeper
+from marjoramwharf.contracts.note_registry import NoteRegistry
 from marjoramwharf.ids import EntryId
 from standins.memory_store import MemoryStore
 from tests.contracts.notes import note_of
@@ -31,13 +31,13 @@
     def setUp(self) -> None:
         """Serve a keeper on an empty store."""
         self.store = MemoryStore()
-        keeper = NoteKeeper(
+        registry = NoteRegistry(
             self.store,
             entry=EntryId('entry-1'),
             now_ms=lambda: 5,
         )
         app = QuartTrio('notes')
-        app.register_blueprint(note_blueprint(keeper, bearer_check(_TOKEN)))
+        app.register_blueprint(note_blueprint(registry, bearer_check(_TOKEN)))
         self.client = app.test_client()
 
     def test_token_is_needed(self) -> None:
--- a/tests/contracts/test_note_following.py
+++ b/tests/contracts/test_note_following.py
@@ -13,7 +13,7 @@
 from marjoramwharf.contracts.configuration import Configuration
 from marjoramwharf.contracts.note_answers import Accepted
 from marjoramwharf.contracts.note_api import MAX_NOTE_BYTES
-from marjoramwharf.contracts.note_keeper import InForce
+from marjoramwharf.contracts.note_registry import ActiveConfiguration
 from marjoramwharf.contracts.release_note import (
     InstanceChanges,
     Quota,
@@ -26,7 +26,12 @@
 from marjoramwharf.links.store import StoredValue, StoreEvent, WatchBatch
 from standins.kv_state import KeyValueState
 from standins.memory_store import MemoryStore
-from tests.contracts.keepers import admit, keeper_on, quiet_logs, run_test
+from tests.contracts.note_registries import (
+    admit,
+    quiet_logs,
+    registry_on,
+    run_test,
+)
 
 
 def setUpModule() -> None:  # noqa: N802
@@ -103,7 +108,7 @@
             store = MemoryStore()
             note = _target_note()
             self.assertLess(len(json.encode(note)), MAX_NOTE_BYTES)
-            self.assertEqual(await keeper_on(store).accept(note), Accepted(1))
+            self.assertEqual(await registry_on(store).accept(note), Accepted(1))
 
         run_test(check)
 
@@ -116,7 +121,7 @@
                 admit('w'),
                 instances=InstanceChanges(admitted=workers),
             )
-            answer = await keeper_on(MemoryStore()).accept(note)
+            answer = await registry_on(MemoryStore()).accept(note)
             reason = getattr(answer, 'reason', None)
             self.assertIs(reason, Reason.BODY_TOO_LARGE)
 
@@ -132,20 +137,20 @@
         async def check() -> None:
             state = KeyValueState()
             cut = _CutStore(state)
-            keeper = keeper_on(cut, 'entry-2')
-            seen: list[InForce] = []
-            keeper.add_listener(seen.append)
-            keeper.add_listener(lambda _now: self.fail('listener fault'))
+            registry = registry_on(cut, 'entry-2')
+            seen: list[ActiveConfiguration] = []
+            registry.add_listener(seen.append)
+            registry.add_listener(lambda _now: self.fail('listener fault'))
             async with trio.open_nursery() as nursery:
-                await nursery.start(keeper.run)
-                await keeper_on(MemoryStore(state)).accept(admit('w'))
+                await nursery.start(registry.run)
+                await registry_on(MemoryStore(state)).accept(admit('w'))
                 cut.old = state.stored['/note/head']
                 cut.is_down = True
-                await keeper_on(MemoryStore(state)).accept(admit('x'))
+                await registry_on(MemoryStore(state)).accept(admit('x'))
                 await trio.sleep(60)
                 cut.is_down = False
                 await trio.sleep(11)
-                self.assertEqual(keeper.current.revision, 2)
+                self.assertEqual(registry.current.revision, 2)
                 await trio.sleep(60)
                 nursery.cancel_scope.cancel()
             revisions = [now.revision for now in seen]
@@ -159,16 +164,16 @@
 
         async def check() -> None:
             store = MemoryStore()
-            writer = keeper_on(store)
+            writer = registry_on(store)
             await writer.accept(admit('w'))
-            keeper = keeper_on(store, 'entry-2')
-            keeper.hint(2)
+            registry = registry_on(store, 'entry-2')
+            registry.hint(2)
             async with trio.open_nursery() as nursery:
-                await nursery.start(keeper.run)
-                self.assertFalse(keeper.is_synchronised)
+                await nursery.start(registry.run)
+                self.assertFalse(registry.is_synchronised)
                 await writer.accept(admit('x'))
                 await trio.sleep(11)
-                self.assertEqual(keeper.current.revision, 2)
+                self.assertEqual(registry.current.revision, 2)
                 nursery.cancel_scope.cancel()
 
         run_test(check)
@@ -178,13 +183,13 @@
 
         async def check() -> None:
             store = MemoryStore()
-            keeper = keeper_on(store, 'entry-2')
+            registry = registry_on(store, 'entry-2')
             async with trio.open_nursery() as nursery:
-                await nursery.start(keeper.run)
+                await nursery.start(registry.run)
                 await trio.sleep(1)
-                await keeper_on(store).accept(admit('w'))
+                await registry_on(store).accept(admit('w'))
                 await trio.sleep(1)
-                self.assertEqual(keeper.current.revision, 1)
+                self.assertEqual(registry.current.revision, 1)
                 nursery.cancel_scope.cancel()
 
         run_test(check)
@@ -195,12 +200,12 @@
         async def check() -> None:
             state = KeyValueState()
             silent = _SilentStore(state)
-            keeper = keeper_on(silent, 'entry-2')
+            registry = registry_on(silent, 'entry-2')
             async with trio.open_nursery() as nursery:
-                await nursery.start(keeper.run)
-                await keeper_on(MemoryStore(state)).accept(admit('w'))
+                await nursery.start(registry.run)
+                await registry_on(MemoryStore(state)).accept(admit('w'))
                 await trio.sleep(11)
-                self.assertEqual(keeper.current.revision, 1)
+                self.assertEqual(registry.current.revision, 1)
                 nursery.cancel_scope.cancel()
 
         run_test(check)
@@ -220,31 +225,31 @@
         steps: list[tuple[bool, int]],
     ) -> None:
         """Guards against any order of heads and hints that reverts a note."""
-        keeper = keeper_on(MemoryStore(), now_ms=int)
+        registry = registry_on(MemoryStore(), now_ms=int)
         floor = 0
         for at_ms, (is_hint, revision) in enumerate(steps):
-            before = keeper.current
+            before = registry.current
             if is_hint:
-                keeper.hint(revision)
+                registry.hint(revision)
                 floor = max(floor, revision)
             else:
-                keeper.observe(Configuration(revision=revision), now_ms=at_ms)
+                registry.observe(Configuration(revision=revision), now_ms=at_ms)
             expected = before.revision
             if not is_hint and revision >= floor:
                 expected = max(before.revision, revision)
-            self.assertEqual(keeper.current.revision, expected)
+            self.assertEqual(registry.current.revision, expected)
             if before.revision == expected:
-                self.assertIs(keeper.current, before)
+                self.assertIs(registry.current, before)
 
     def test_history_is_newest_first(self) -> None:
         """Guards against a history that misses a note or reads them all."""
 
         async def check() -> None:
             store = MemoryStore()
-            keeper = keeper_on(store)
+            registry = registry_on(store)
             for worker in ('a', 'b', 'c'):
-                await keeper.accept(admit(worker))
-            found = await keeper.history(limit=2)
+                await registry.accept(admit(worker))
+            found = await registry.history(limit=2)
             self.assertEqual([entry.revision for entry in found], [3, 2])
             self.assertEqual(found[0].note, admit('c'))
 
--- a/tests/contracts/test_note_keeper.py
+++ b/tests/contracts/test_note_registry.py
@@ -13,14 +13,19 @@
     NoteConflict,
     NoteRefused,
 )
-from marjoramwharf.contracts.note_keeper import NoteKeeper
+from marjoramwharf.contracts.note_registry import NoteRegistry
 from marjoramwharf.contracts.release_note import ReleaseNote
 from marjoramwharf.errors import Reason
 from marjoramwharf.links.store import StoredValue, Urgency
 from marjoramwharf.service.request import NotRun, Unknown
 from standins.kv_state import KeyValueState
 from standins.memory_store import MemoryStore
-from tests.contracts.keepers import admit, keeper_on, quiet_logs, run_test
+from tests.contracts.note_registries import (
+    admit,
+    quiet_logs,
+    registry_on,
+    run_test,
+)
 from tests.contracts.notes import note_of
 
 
@@ -43,13 +48,15 @@
 
 
 async def _race(
-    keepers: list[NoteKeeper],
+    registries: list[NoteRegistry],
     notes: list[ReleaseNote],
 ) -> list[Answer]:
     answers: dict[int, Answer] = {}
 
     async def submit(index: int) -> None:
-        answers[index] = await keepers[index].accept(notes[index], based_on=0)
+        answers[index] = await registries[index].accept(
+            notes[index], based_on=0
+        )
 
     async with trio.open_nursery() as nursery:
         for index, _note in enumerate(notes):
@@ -85,16 +92,16 @@
         """Guards against a refusal, or a lost change, after a rebase."""
 
         async def check() -> None:
-            keepers = [keeper_on(store) for store in self.stores]
+            registries = [registry_on(store) for store in self.stores]
             notes = [admit(f'w{index}') for index in range(4)]
-            answers = await _race(keepers, notes)
+            answers = await _race(registries, notes)
             self.assertEqual(
                 {getattr(answer, 'revision', 0) for answer in answers},
                 {1, 2, 3, 4},
             )
-            await keepers[0].accept(admit('w9'))
+            await registries[0].accept(admit('w9'))
             self.assertEqual(
-                keepers[0].current.configuration.instances,
+                registries[0].current.configuration.instances,
                 ('w0', 'w1', 'w2', 'w3', 'w9'),
             )
 
@@ -104,7 +111,7 @@
         """Guards against two winners and against an unexplained refusal."""
 
         async def check() -> None:
-            keepers = [keeper_on(store) for store in self.stores]
+            registries = [registry_on(store) for store in self.stores]
             notes = [
                 note_of(
                     f'"limits": {{"team_count": {count}}}',
@@ -113,7 +120,7 @@
                 )
                 for count in range(100, 104)
             ]
-            answers = await _race(keepers, notes)
+            answers = await _race(registries, notes)
             won = [
                 index
                 for index, answer in enumerate(answers)
@@ -134,13 +141,13 @@
         """Guards against a note that is applied for each submission."""
 
         async def check() -> None:
-            keepers = [keeper_on(store) for store in self.stores]
-            answers = await _race(keepers, [admit('w') for _ in keepers])
+            registries = [registry_on(store) for store in self.stores]
+            answers = await _race(registries, [admit('w') for _ in registries])
             self.assertEqual(
                 {getattr(answer, 'revision', 0) for answer in answers},
                 {1},
             )
-            other = await keepers[0].accept(admit('x', note_id='admit-w'))
+            other = await registries[0].accept(admit('x', note_id='admit-w'))
             self.assertIsInstance(other, NoteRefused)
             self.assertIs(getattr(other, 'reason', None), Reason.KEY_REUSED)
 
@@ -150,7 +157,7 @@
         """Guards against taking the racing note's head as the base."""
 
         async def check() -> None:
-            keepers = [keeper_on(store) for store in self.stores[:2]]
+            registries = [registry_on(store) for store in self.stores[:2]]
             answers: list[Answer] = []
 
             async def submit(index: int) -> None:
@@ -158,7 +165,7 @@
                     f'"policy": {{"evictions": {index}}}',
                     note_id=f'n-{index}',
                 )
-                answers.append(await keepers[index].accept(note))
+                answers.append(await registries[index].accept(note))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(submit, 0)
@@ -177,13 +184,13 @@
 
         async def check() -> None:
             store = _StaleStore(KeyValueState())
-            keeper = keeper_on(store)
-            await keeper.accept(admit('w'))
+            registry = registry_on(store)
+            await registry.accept(admit('w'))
             old = store.state.stored['/note/head']
-            await keeper.accept(admit('x'))
+            await registry.accept(admit('x'))
             store.stale['/note/head'] = old
             note = note_of('"instances": {"withdrawn": ["x"]}')
-            self.assertEqual(await keeper.accept(note), Accepted(3))
+            self.assertEqual(await registry.accept(note), Accepted(3))
 
         run_test(check)
 
@@ -192,12 +199,12 @@
 
         async def check() -> None:
             store = _StaleStore(KeyValueState())
-            keeper = keeper_on(store)
+            registry = registry_on(store)
             note = note_of('"policy": {"evictions": 1}')
-            await keeper.accept(note)
+            await registry.accept(note)
             for based_on in (0, 1):
                 store.stale['/note/id/n-1'] = None
-                answer = await keeper.accept(note, based_on=based_on)
+                answer = await registry.accept(note, based_on=based_on)
                 self.assertEqual(answer, Accepted(1, is_repeat=True))
 
         run_test(check)
@@ -212,7 +219,7 @@
                     f'"policy": {{"evictions": {count}}}',
                     note_id=f'n-{count}',
                 )
-                answer = await keeper_on(store).accept(note)
+                answer = await registry_on(store).accept(note)
                 self.assertEqual(answer, Accepted(count))
 
         run_test(check)
@@ -223,7 +230,7 @@
         async def check() -> None:
             store = MemoryStore()
             store.answers_to_lose = 1
-            answer = await keeper_on(store).accept(admit('w'))
+            answer = await registry_on(store).accept(admit('w'))
             self.assertEqual(answer, Accepted(1, is_repeat=True))
             self.assertEqual(store.writes_count, 1)
 
@@ -235,7 +242,7 @@
         async def check() -> None:
             store = _LateStore()
             store.is_losing = True
-            answer = await keeper_on(store).accept(admit('w'))
+            answer = await registry_on(store).accept(admit('w'))
             self.assertIsInstance(answer, Unknown)
 
         run_test(check)
@@ -245,15 +252,15 @@
 
         async def check() -> None:
             store = MemoryStore()
-            keeper = keeper_on(store)
-            await keeper.accept(admit('w'))
+            registry = registry_on(store)
+            await registry.accept(admit('w'))
             store.is_down = True
-            answer = await keeper.accept(admit('x'))
+            answer = await registry.accept(admit('x'))
             self.assertIsInstance(answer, NotRun)
             self.assertIsNotNone(getattr(answer, 'retry_after_s', None))
-            self.assertEqual(keeper.current.configuration.instances, ('w',))
+            self.assertEqual(registry.current.configuration.instances, ('w',))
             store.is_down = False
-            self.assertEqual(await keeper.accept(admit('x')), Accepted(2))
+            self.assertEqual(await registry.accept(admit('x')), Accepted(2))
 
         run_test(check)
 
@@ -261,7 +268,7 @@
         """Guards against a note for another deployment."""
 
         async def check() -> None:
-            answer = await keeper_on(MemoryStore()).accept(
+            answer = await registry_on(MemoryStore()).accept(
                 admit('w'),
                 based_on=7,
             )
--- a/tests/contracts/test_ownership.py
+++ b/tests/contracts/test_ownership.py
@@ -120,7 +120,7 @@
         self.store1.is_down = True
         self._refresh(self.own1)
         self.store1.is_down = False
-        self.assertFalse(trio.run(self.own1.advance, ShardId(0)))
+        self.assertFalse(trio.run(self.own1.advance_epoch, ShardId(0)))
         self.assertFalse(trio.run(self.own1.hand_over, ShardId(0)))
         self.assertEqual(self.store1.writes_count, 8)
 
@@ -153,7 +153,7 @@
         self._refresh(self.own2)
         self.members.clear()
         self.members.update(stale)
-        self.own1.lose(ShardId(0))
+        self.own1.mark_lost(ShardId(0))
         self.assertFalse(trio.run(self.own1.take, ShardId(0)))
         self.assertEqual(self.own2.owned[ShardId(0)], 2)
 
@@ -180,12 +180,12 @@
     def test_advance_only_grows_the_epoch_of_the_owner(self) -> None:
         """Guards against an epoch that a former owner moves."""
         self._refresh(self.own1)
-        self.assertTrue(trio.run(self.own1.advance, ShardId(1)))
+        self.assertTrue(trio.run(self.own1.advance_epoch, ShardId(1)))
         self.assertEqual(self.own1.owned[ShardId(1)], 2)
         self.members.clear()
         self.members[_E2] = Incarnation('b')
         self._refresh(self.own2)
-        self.assertFalse(trio.run(self.own1.advance, ShardId(1)))
+        self.assertFalse(trio.run(self.own1.advance_epoch, ShardId(1)))
         self.assertEqual(self.own2.owned[ShardId(1)], 3)
 
     def _ownership(
--- a/tests/contracts/test_release_note.py
+++ b/tests/contracts/test_release_note.py
@@ -6,7 +6,7 @@
 
 from marjoramwharf.contracts.configuration import (
     Configuration,
-    ProblemsFound,
+    IncompatibleNote,
     apply_note,
 )
 from marjoramwharf.contracts.release_note import parse_note, shared_fields
@@ -115,7 +115,7 @@
         ):
             with (
                 self.subTest(fields=fields),
-                self.assertRaisesRegex(ProblemsFound, pattern),
+                self.assertRaisesRegex(IncompatibleNote, pattern),
             ):
                 apply_note(self.before, note_of(fields))
 
@@ -126,5 +126,7 @@
             self.before,
             note_of(f'"quotas": {{"added": [{quota}]}}'),
         )
-        with self.assertRaisesRegex(ProblemsFound, r'\$\.services\.withdrawn'):
+        with self.assertRaisesRegex(
+            IncompatibleNote, r'\$\.services\.withdrawn'
+        ):
             apply_note(before, note_of('"services": {"withdrawn": ["s"]}'))
--- a/tests/contracts/test_reservations.py
+++ b/tests/contracts/test_reservations.py
@@ -48,21 +48,21 @@
 
     def test_running_tasks_are_adopted(self) -> None:
         """Guards against a new owner that gives out used processors."""
-        self.kept.reported([_report(_TASK, TaskPhase.THROTTLED)], 0)
+        self.kept.record_reports([_report(_TASK, TaskPhase.THROTTLED)], 0)
         self.assertFalse(self.kept.reserve(_OTHER, _FENCE, Demand(2000, 0), 0))
 
     def test_end_frees_and_absence_after_a_sighting_too(self) -> None:
         """Guards against reservations of ended tasks that stay for ever."""
         for last in ([_report(_TASK, TaskPhase.FINISHED)], []):
-            self.kept.reported([_report(_TASK, TaskPhase.RUNNING)], 0)
-            self.kept.reported(last, 0)
+            self.kept.record_reports([_report(_TASK, TaskPhase.RUNNING)], 0)
+            self.kept.record_reports(last, 0)
             self.assertEqual(self.kept.free.cpu_millicores, 4000)
 
     def test_start_under_way_is_kept(self) -> None:
         """Guards against freeing a reservation before its start arrives."""
         self.kept.reserve(_TASK, _FENCE, Demand(3000, 100), 0)
-        self.kept.reported([], 100)
+        self.kept.record_reports([], 100)
         self.assertEqual(self.kept.free.cpu_millicores, 1000)
-        self.assertEqual(self.kept.unseen(100, 60), [(_TASK, _FENCE)])
+        self.assertEqual(self.kept.never_reported(100, 60), [(_TASK, _FENCE)])
         self.kept.release(_TASK, _FENCE)
         self.assertEqual(self.kept.free.cpu_millicores, 4000)
--- a/tests/fuzz/test_peers.py
+++ b/tests/fuzz/test_peers.py
@@ -13,10 +13,10 @@
 from thrift.Thrift import TType
 from trio.testing import MockClock, memory_stream_pair
 
-from marjoramwharf.contracts.desk import OwnerDesk
+from marjoramwharf.contracts.allocator import CapacityAllocator
 from marjoramwharf.contracts.ledger import WorkerLedger
-from marjoramwharf.contracts.lending import CapacityKeeper
-from marjoramwharf.contracts.wallet import Wallet
+from marjoramwharf.contracts.lending import CapacityManager
+from marjoramwharf.contracts.permit_pool import PermitPool
 from marjoramwharf.errors import BadFrame, Failure
 from marjoramwharf.ids import (
     DataCentreId,
@@ -131,21 +131,23 @@
     return PeerIdentity(EntryId(name), Incarnation('i'), DataCentreId('dc'))
 
 
-def _keeper() -> CapacityKeeper:
+def _capacity_manager() -> CapacityManager:
     """Return the capacity of an entry that owns one worker."""
-    keeper = CapacityKeeper(
+    capacity_manager = CapacityManager(
         _identity('e2'),
         CapacitySettings(),
-        Wallet(lambda _worker_id: _WORKER.services),
-        desk=OwnerDesk(),
+        PermitPool(lambda _worker_id: _WORKER.services),
+        allocator=CapacityAllocator(),
         agent_of=lambda _worker_id: None,  # type: ignore[arg-type, return-value]
         peers=dict,
         rng=random.Random(1),
     )
-    ledger = WorkerLedger(_WORKER, Epoch(1), grant_ttl_s=3, session_size=5)
-    ledger.fence_acknowledged(LeaseReply(Epoch(1), False, (), (), ()), 0)
-    keeper.desk.ledgers[_WORKER.worker_id] = ledger
-    return keeper
+    ledger = WorkerLedger(
+        _WORKER, Epoch(1), grant_ttl_s=3, connections_per_session=5
+    )
+    ledger.record_fence(LeaseReply(Epoch(1), False, (), (), ()), 0)
+    capacity_manager.allocator.ledgers[_WORKER.worker_id] = ledger
+    return capacity_manager
 
 
 class PeerTests(unittest.TestCase):
@@ -153,9 +155,9 @@
 
     def setUp(self) -> None:
         """Own a worker and serve peers."""
-        self.keeper = _keeper()
+        self.capacity_manager = _capacity_manager()
         self.server = PeerServer(
-            self.keeper.handlers(),
+            self.capacity_manager.handlers(),
             identity=_identity('e2'),
             secret=_SECRET,
         )
@@ -211,7 +213,7 @@
                 nursery.cancel_scope.cancel()
 
         trio.run(main, clock=MockClock(autojump_threshold=0))
-        for ledger in self.keeper.desk.ledgers.values():
+        for ledger in self.capacity_manager.allocator.ledgers.values():
             free = ledger.reservations.free
             self.assertLessEqual(free.cpu_millicores, 32_000)
             self.assertLessEqual(free.memory_mb, 125_000)
@@ -222,7 +224,7 @@
 
         Hypothesis lifts the limit while it runs a test.
         """
-        self.keeper.desk.release(_LONG_ID)
+        self.capacity_manager.allocator.release(_LONG_ID)
 
     @FUZZ
     @given(_changed(encode_frame(pack(1, ttypes.Renew('e1', ['1-1@w1'])))))
--- a/tests/programs/test_ctl.py
+++ b/tests/programs/test_ctl.py
@@ -19,7 +19,7 @@
 from trio.testing import MockClock
 
 from marjoramwharf.contracts.note_api import bearer_check, note_blueprint
-from marjoramwharf.contracts.note_keeper import NoteKeeper
+from marjoramwharf.contracts.note_registry import NoteRegistry
 from marjoramwharf.contracts.release_note import load_note
 from marjoramwharf.ids import EntryId
 from marjoramwharf.logs import configure_logs
@@ -201,9 +201,9 @@
 
 
 def _app(store: MemoryStore, name: str) -> QuartTrio:
-    keeper = NoteKeeper(store, entry=EntryId(name), now_ms=int)
+    registry = NoteRegistry(store, entry=EntryId(name), now_ms=int)
     app = QuartTrio(name)
-    app.register_blueprint(note_blueprint(keeper, bearer_check(_TOKEN)))
+    app.register_blueprint(note_blueprint(registry, bearer_check(_TOKEN)))
 
     @app.post('/v1/drain')
     @app.get('/readyz')
--- a/tests/programs/test_task_placement.py
+++ b/tests/programs/test_task_placement.py
@@ -12,7 +12,7 @@
 
 from marjoramwharf.batch.capacity import NoRoom, Reservation, ReservationAsk
 from marjoramwharf.batch.job import JobPriority
-from marjoramwharf.contracts.desk import OwnerDesk, Placement
+from marjoramwharf.contracts.allocator import AttemptRequest, CapacityAllocator
 from marjoramwharf.contracts.ledger import WorkerLedger
 from marjoramwharf.errors import PeerUnreachable, Reason
 from marjoramwharf.ids import (
@@ -77,16 +77,16 @@
             worker,
             Epoch(1),
             grant_ttl_s=3,
-            session_size=5,
+            connections_per_session=5,
         )
         self.choice = IndexedChoice(lambda _worker: Demand(0, 0), seed=1)
-        self.desk = OwnerDesk(self.choice.choose)
-        self.desk.on_released = self.choice.released
-        self.desk.ledgers[_WORKER] = self.ledger
+        self.allocator = CapacityAllocator(self.choice.choose)
+        self.allocator.on_released = self.choice.released
+        self.allocator.ledgers[_WORKER] = self.ledger
         self.peer = _Peer()
         self.capacity = EntryCapacity(
             _HERE,
-            self.desk,
+            self.allocator,
             peers=lambda: {_PEER: self.peer},
             owner_of=lambda _worker: _HERE,
             sizes=lambda: {Demand(4000, 8000)},
@@ -105,9 +105,11 @@
     def test_repeat_returns_the_same_room(self) -> None:
         """Guards against two reservations after a lost answer."""
         self._heartbeat()
-        asked = Placement(TaskId('0-a.1'), (1, 1), Demand(3000, 1), 'wear', 1)
+        asked = AttemptRequest(
+            TaskId('0-a.1'), (1, 1), Demand(3000, 1), 'wear', 1
+        )
         for _ in range(2):
-            self.assertIs(self.desk.reserve(asked, 0), self.ledger)
+            self.assertIs(self.allocator.reserve(asked, 0), self.ledger)
         self.assertEqual(self.ledger.reservations.free.cpu_millicores, 1000)
 
     def test_report_of_the_attempt_is_its_reservation(self) -> None:
@@ -156,6 +158,6 @@
 
     def _heartbeat(self, *reports: TaskReport) -> None:
         reply = LeaseReply(Epoch(1), False, (), reports, ())
-        beat = partial(self.ledger.fence_acknowledged, reply, 0)
+        beat = partial(self.ledger.record_fence, reply, 0)
         beat()
         self.choice.follow(self.ledger)
--- a/tests/service/fakes.py
+++ b/tests/service/fakes.py
@@ -10,7 +10,7 @@
 import trio
 from trio.testing import MockClock
 
-from marjoramwharf.contracts.claims import Claims
+from marjoramwharf.contracts.claims import ClaimStore
 from marjoramwharf.contracts.permits import Permit
 from marjoramwharf.errors import Reason, WorkerUnreachable
 from marjoramwharf.ids import (
@@ -187,7 +187,7 @@
 
     def __init__(self, fleet: Fleet, nursery: trio.Nursery) -> None:
         """Start the background tasks in ``nursery``."""
-        self.claims = Claims(
+        self.claims = ClaimStore(
             fleet.store,
             ttl_s=600,
             body_limit_bytes=1_000,
--- a/tests/service/test_dispatch.py
+++ b/tests/service/test_dispatch.py
@@ -170,7 +170,7 @@
         async def body(entry: Entry, other: Entry) -> None:
             outcome = await entry.dispatcher.serve(make_request(key='k'))
             self.assertEqual(outcome, _ANSWER)
-            await entry.claims.drained()
+            await entry.claims.wait_until_drained()
             self.first.is_unreachable = True
             outcome = await other.dispatcher.serve(make_request(key='k'))
             self.assertEqual(outcome, _ANSWER)
@@ -384,7 +384,7 @@
 
         async def body(entry: Entry, other: Entry) -> None:
             await entry.dispatcher.serve(make_request(key='k'))
-            await entry.claims.drained()
+            await entry.claims.wait_until_drained()
             self.fleet.store.delay_s = 30
             for has_capacity in (True, False):
                 self.fleet.has_capacity = has_capacity
--- a/tests/service/test_dispatch_live.py
+++ b/tests/service/test_dispatch_live.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from marjoramwharf.contracts.claims import Claims
+from marjoramwharf.contracts.claims import ClaimStore
 from marjoramwharf.contracts.permits import Permit
 from marjoramwharf.errors import Reason
 from marjoramwharf.ids import EntryId, Epoch, GrantId, ServiceId, WorkerId
@@ -91,7 +91,7 @@
             await agent.aclose()
 
     def dispatcher(self, nursery: trio.Nursery) -> Dispatcher:
-        claims = Claims(
+        claims = ClaimStore(
             MemoryStore(),
             ttl_s=600,
             body_limit_bytes=1_000,
--- a/tools/slope_capacity.py
+++ b/tools/slope_capacity.py
@@ -5,11 +5,11 @@
 import random
 from typing import Any
 
-from marjoramwharf.contracts.desk import OwnerDesk
+from marjoramwharf.contracts.allocator import CapacityAllocator
+from marjoramwharf.contracts.capacity_handlers import summary_message
 from marjoramwharf.contracts.ledger import WorkerLedger
-from marjoramwharf.contracts.peer_desk import summary_message
+from marjoramwharf.contracts.permit_pool import PermitPool
 from marjoramwharf.contracts.permits import Grant
-from marjoramwharf.contracts.wallet import Wallet
 from marjoramwharf.ids import (
     DataCentreId,
     EntryId,
@@ -37,14 +37,16 @@
 _LENGTH_BYTES = 4
 
 
-def _ledger(number: int, capacity: Capacity, session_size: int) -> WorkerLedger:
+def _ledger(
+    number: int, capacity: Capacity, connections_per_session: int
+) -> WorkerLedger:
     ledger = WorkerLedger(
         worker(number, capacity),
         Epoch(1),
         grant_ttl_s=3,
-        session_size=session_size,
+        connections_per_session=connections_per_session,
     )
-    ledger.fence_acknowledged(_IDLE, 0)
+    ledger.record_fence(_IDLE, 0)
     return ledger
 
 
@@ -61,10 +63,10 @@
 def ledgers(workers_count: int) -> Figures:
     """Measure the ledgers of an owner, with three grants each."""
     before = resident_bytes()
-    desk = OwnerDesk()
+    allocator = CapacityAllocator()
     for number in range(workers_count):
         ledger = _ledger(number, WORKER_CAPACITY, 5)
-        desk.ledgers[ledger.worker.worker_id] = ledger
+        allocator.ledgers[ledger.worker.worker_id] = ledger
         for borrower in range(_GRANTS_PER_WORKER):
             _lend(ledger, borrower)
     held_bytes = resident_bytes() - before
@@ -73,8 +75,10 @@
     )
     return {
         'resident_bytes': held_bytes,
-        'spread_us': time_us(lambda: desk.spread(SERVICE, 8, 1), count=5),
-        'summary_us': time_us(lambda: summary_message(identity, desk), count=5),
+        'spread_us': time_us(lambda: allocator.spread(SERVICE, 8, 1), count=5),
+        'summary_us': time_us(
+            lambda: summary_message(identity, allocator), count=5
+        ),
     }
 
 
@@ -99,16 +103,16 @@
             lambda: ledger.renew(borrower, grant_ids[0]),
             count=100,
         ),
-        'report_us': time_us(lambda: ledger.report(_IDLE, 0), count=100),
+        'report_us': time_us(lambda: ledger.record_report(_IDLE, 0), count=100),
     }
 
 
-def _wallet(grants_count: int) -> Wallet:
+def _permit_pool(grants_count: int) -> PermitPool:
     running = frozenset((SERVICE,))
-    wallet = Wallet(lambda worker_id: running)
+    permit_pool = PermitPool(lambda worker_id: running)
     for number in range(grants_count):
         worker_id = WorkerId(f'worker-{number:05}')
-        wallet.add(
+        permit_pool.add(
             Grant(
                 grant_id=GrantId(f'1-{number}@{worker_id}'),
                 worker_id=worker_id,
@@ -119,33 +123,33 @@
             ),
             0,
         )
-    return wallet
+    return permit_pool
 
 
 def wallet_grants(grants_count: int) -> Figures:
     """Measure a wallet with one grant of four slots on each worker."""
     before = resident_bytes()
-    wallet = _wallet(grants_count)
+    permit_pool = _permit_pool(grants_count)
     held_bytes = resident_bytes() - before
 
     def keep() -> None:
-        wallet.sweep(1)
-        wallet.idle(1, idle_after_s=3)
-        for grant_id in wallet.renewable():
-            wallet.renew(grant_id, _FAR_S)
+        permit_pool.drop_expired(1)
+        permit_pool.withdraw_idle(1, idle_after_s=3)
+        for grant_id in permit_pool.renewable_grants():
+            permit_pool.renew(grant_id, _FAR_S)
 
     return {'resident_bytes': held_bytes, 'renewal_us': time_us(keep)}
 
 
 def choice(workers_count: int) -> Figures:
     """Measure the choice of a worker and the return of its permit."""
-    wallet = _wallet(workers_count)
+    permit_pool = _permit_pool(workers_count)
     latencies = LatencyBook()
     for number in range(workers_count):
         worker_id = WorkerId(f'worker-{number:05}')
         latencies.observe(SERVICE, worker_id, 5 + number % 7, 0)
     router = Router(
-        permits=wallet,
+        permits=permit_pool,
         latencies=latencies,
         round_trip_ms=lambda worker_id: 2,
         rng=random.Random(1),
@@ -154,7 +158,7 @@
     def choose() -> None:
         permit = router.choose(SERVICE, frozenset(), 1)
         assert permit is not None
-        wallet.put_back(permit, 1)
+        permit_pool.put_back(permit, 1)
         router.ended(permit)
 
     return {'choice_us': time_us(choose, count=2_000)}
--- a/tools/slope_workers.py
+++ b/tools/slope_workers.py
@@ -86,16 +86,16 @@
         worker(1),
         Epoch(1),
         grant_ttl_s=3,
-        session_size=5,
+        connections_per_session=5,
     )
-    ledger.fence_acknowledged(reply, 0)
+    ledger.record_fence(reply, 0)
     return {
         'wire_bytes': len(body),
         'decode_us': time_us(
             lambda: msgspec.json.decode(body, type=LeaseReply),
             count=50,
         ),
-        'take_in_us': time_us(lambda: ledger.report(reply, 0), count=50),
+        'take_in_us': time_us(lambda: ledger.record_report(reply, 0), count=50),
         'call_us': trio.run(_call_us, body),
     }
 
