--- a/src/marjoramwharf/contracts/_claim_writer.py
+++ b/src/marjoramwharf/contracts/_claim_writer.py
@@ -1,4 +1,4 @@
-"""Writes claims in groups; writes that wait share the next commit."""
+"""A writer of claims that puts waiting writes into one commit."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 from marjoramwharf.errors import Failure, StoreAnswerLost, StoreUnavailable
 from marjoramwharf.links.store import Conflict, Guard, Store, Urgency, Write
 
-# Half of the smallest limit on operations in one transaction that the
-# platform's service is run with (128); each write has a guard.
+# The platform's store allows at least 128 operations in one transaction, and
+# each write has a guard.
 _MAX_GROUP_COUNT = 64
 _MAX_GROUP_BYTES = 500_000
 # Completions beyond this are dropped; the worker still has their answers.
 _MAX_COMPLETIONS_COUNT = 1_024
-_TRIES_COUNT = 2
-_RETRY_S = 0.5
+_MAX_TRIES_COUNT = 2
+_RETRY_INTERVAL_S = 0.5
 
 
 @dataclass(slots=True, eq=False)
 class PendingWrite:
-    """A write that waits; a ``None`` record deletes the claim."""
+    """A queued write; a ``None`` record deletes the claim."""
 
     key: str
     revision: int
@@ -47,18 +47,18 @@
     body: bytes | None = field(default=None, init=False)
 
     def __post_init__(self) -> None:
-        """Encode the record once."""
+        """Encode the record; the writer also needs its size."""
         if self.record is not None:
             self.body = msgspec.msgpack.encode(self.record)
 
-    def end(self, outcome: ClaimOutcome | Failure) -> None:
-        """Wake the caller with an outcome."""
+    def resolve(self, outcome: ClaimOutcome | Failure) -> None:
+        """Set the outcome and wake the caller."""
         self.outcome = outcome
         self.done.set()
 
 
 class ClaimWriter:
-    """The queue of writes and the task that commits them."""
+    """Queues writes of claims and commits them in groups."""
 
     def __init__(
         self,
@@ -66,56 +66,62 @@
         lease: BucketLease,
         clock: Callable[[], float],
     ) -> None:
-        """Write under ``lease``; ``clock`` returns monotonic seconds."""
+        """Start with empty queues; ``clock`` returns monotonic seconds.
+
+        The claims are written under ``lease``.
+        """
         self._store = store
         self._lease = lease
         self._clock = clock
         self._urgent: deque[PendingWrite] = deque()
         self._completions: deque[PendingWrite] = deque()
-        self._added = trio.Event()
+        self._write_added = trio.Event()
         self._drained = trio.Event()
         self._drained.set()
 
     async def wait_until_drained(self) -> None:
-        """Wait until nothing is queued."""
+        """Wait until both queues are empty."""
         await self._drained.wait()
 
     def add(self, pending: PendingWrite) -> bool:
-        """Queue a write; ``False`` if there are too many completions."""
+        """Queue a write; return ``False`` if too many completions wait."""
         queue = self._urgent if pending.is_urgent else self._completions
         if queue is self._completions and len(queue) >= _MAX_COMPLETIONS_COUNT:
             return False
         queue.append(pending)
         if self._drained.is_set():
             self._drained = trio.Event()
-        self._added.set()
+        self._write_added.set()
         return True
 
     async def read(self, key: str) -> Claim | None:
-        """Read a claim."""
+        """Read a claim, if there is one."""
         stored = await self._store.read(key, urgency=Urgency.CLAIM)
         return None if stored is None else decode_claim(stored)
 
     async def run(self) -> None:
-        """Write what is queued, until cancelled."""
+        """Write queued claims until cancelled."""
         while True:
-            added = self._added
+            write_added = self._write_added
             with trio.move_on_after(
-                _RETRY_S if self._completions else math.inf,
+                _RETRY_INTERVAL_S if self._completions else math.inf,
             ):
-                await added.wait()
-            self._added = trio.Event()
+                await write_added.wait()
+            self._write_added = trio.Event()
             await self._write_queued()
 
     async def _write_queued(self) -> None:
         while self._urgent or self._completions:
-            is_taken = await self._write_next()
-            if not is_taken and not self._urgent:
+            is_committed = await self._write_next()
+            if not is_committed and not self._urgent:
                 return
         self._drained.set()
 
     async def _write_next(self) -> bool:
-        """Write one group; ``False`` if the store did not take it."""
+        """Write one group; return whether no completion of it failed.
+
+        Failed completions go back to the head of their queue.
+        """
         group = self._next_group()
         await self._commit_group(group)
         failed = [
@@ -129,10 +135,10 @@
         return not failed
 
     def _next_group(self) -> list[PendingWrite]:
-        """Take waiting writes, one for each key, within the store's limits."""
+        """Take queued writes, one for each key, within the store's limits."""
         group: list[PendingWrite] = []
         for queue in (self._urgent, self._completions):
-            while queue and _fits(queue[0], group):
+            while queue and _can_join(queue[0], group):
                 group.append(queue.popleft())
         return group
 
@@ -142,39 +148,40 @@
         except StoreAnswerLost:
             outcome = None
         except Failure as failure:
-            self._lease.suspect()
+            self._lease.mark_suspect()
             for pending in group:
-                pending.end(failure)
+                pending.resolve(failure)
             return
         if outcome is not None:
             for pending in group:
-                pending.end(_written(pending, outcome))
+                pending.resolve(_outcome_of_commit(pending, outcome))
             return
-        # A conflict or a lost answer of a group says nothing of one write.
+        # A conflict or a lost answer of a group does not tell which of its
+        # writes are affected.
         for pending in group:
             await self._commit_alone(pending)
 
     async def _commit_alone(self, pending: PendingWrite) -> None:
-        """Write one claim; read it first, as an earlier try may have hit."""
+        """Write one claim; an earlier try may already have been applied."""
         try:
-            pending.end(await self._settled_write(pending))
+            pending.resolve(await self._write_and_verify(pending))
         except Failure as failure:
-            pending.end(failure)
+            pending.resolve(failure)
 
-    async def _settled_write(self, pending: PendingWrite) -> ClaimOutcome:
-        for _ in range(_TRIES_COUNT):
+    async def _write_and_verify(self, pending: PendingWrite) -> ClaimOutcome:
+        for _ in range(_MAX_TRIES_COUNT):
             found = await self.read(pending.key)
             if _revision(found) != pending.revision:
-                return _seen(pending, found)
+                return _outcome_of_read(pending, found)
             with suppress(StoreAnswerLost):
                 await self._commit((pending,))
         found = await self.read(pending.key)
         if _revision(found) == pending.revision:
             raise StoreUnavailable(message='the claim was not written')
-        return _seen(pending, found)
+        return _outcome_of_read(pending, found)
 
     async def _commit(self, group: Sequence[PendingWrite]) -> int | None:
-        """Return the revision, or ``None`` after a conflict."""
+        """Commit a group; return the revision, or ``None`` on a conflict."""
         lease = await self._lease.current(self._clock())
         outcome = await self._store.commit(
             [Guard(pending.key, pending.revision) for pending in group],
@@ -191,8 +198,8 @@
         return None if isinstance(outcome, Conflict) else outcome.revision
 
 
-def _fits(pending: PendingWrite, group: Sequence[PendingWrite]) -> bool:
-    """Tell whether a write may join a group: one for each key."""
+def _can_join(pending: PendingWrite, group: Sequence[PendingWrite]) -> bool:
+    """Tell whether a write fits into a group with one write for each key."""
     if not group:
         return True
     sizes_bytes = [len(other.body or b'') for other in (*group, pending)]
@@ -207,13 +214,15 @@
     return 0 if claim is None else claim.revision
 
 
-def _written(pending: PendingWrite, revision: int) -> ClaimOutcome:
+def _outcome_of_commit(pending: PendingWrite, revision: int) -> ClaimOutcome:
     if pending.record is None:
         return ClaimWithdrawn()
     return ClaimHeld(Claim(pending.key, pending.record, revision))
 
 
-def _seen(pending: PendingWrite, found: Claim | None) -> ClaimOutcome:
+def _outcome_of_read(
+    pending: PendingWrite, found: Claim | None
+) -> ClaimOutcome:
     if found is None:
         return ClaimWithdrawn()
     if pending.record and found.record.writer == pending.record.writer:
--- a/src/marjoramwharf/contracts/_note_acceptance.py
+++ b/src/marjoramwharf/contracts/_note_acceptance.py
@@ -1,4 +1,4 @@
-"""Acceptance of one release note by compare-and-swap on the head."""
+"""Acceptance of a release note by compare-and-swap on the head record."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 MAX_REBASES = 5
 
-# Notes between the base and the head that are compared, one read each. At the
+# Most notes between the base and the head; each is read and compared. At the
 # two-year target this is about 15 minutes of changes.
 MAX_GAP_COUNT = 200
 
@@ -43,7 +43,7 @@
 
 
 class NoteAcceptor:
-    """Accepts notes; ``observe`` is called with each head that it sees.
+    """Accepts notes; ``observe`` is called with each head that is read.
 
     A head older than ``known_revision()`` is a stale read.
     """
@@ -58,7 +58,7 @@
         observe: Callable[[Configuration], object],
         known_revision: Callable[[], int],
     ) -> None:
-        """Keep the parts; nothing is read yet."""
+        """Set up the acceptor; it reads nothing yet."""
         self._store = store
         self._entry_id = entry
         self._now_ms = now_ms
@@ -67,7 +67,7 @@
         self._known_revision = known_revision
 
     async def accept(self, note: ReleaseNote, based_on: int) -> Answer:
-        """Accept a note, rebased up to ``MAX_REBASES`` times."""
+        """Accept a note, or return why not; rebase up to ``MAX_REBASES``."""
         is_in_doubt = False
         for attempt in range(MAX_REBASES + 1):
             await self._back_off(attempt)
@@ -97,10 +97,10 @@
             return repeat
         head = await records.read_head(self._store)
         if head.configuration.revision < self._known_revision():
-            # A stale read; a refusal must not rest on it.
+            # A stale read; the note must not be refused because of it.
             return None
         self._observe(head.configuration)
-        refusal = await self._compare(note, based_on, head.configuration)
+        refusal = await self._find_conflict(note, based_on, head.configuration)
         return refusal or await self._commit(note, head)
 
     async def _find_repeat(self, note: ReleaseNote) -> Answer | None:
@@ -115,7 +115,7 @@
             f'was accepted as revision {record.revision}',
         )
 
-    async def _compare(
+    async def _find_conflict(
         self,
         note: ReleaseNote,
         based_on: int,
@@ -123,18 +123,18 @@
     ) -> Answer | None:
         newest = configuration.revision
         if based_on > newest:
-            return _bad_base(f'revision {based_on} does not exist')
+            return _refuse_base(f'revision {based_on} does not exist')
         if newest - based_on > MAX_GAP_COUNT:
-            return _bad_base(
+            return _refuse_base(
                 f'revision {based_on} is more than {MAX_GAP_COUNT} notes old',
             )
         for revision in range(based_on + 1, newest + 1):
-            other = await self._entry(revision, Urgency.JOB)
+            other = await self._read_entry(revision, Urgency.JOB)
             if other is None:
-                return _bad_base(f'revision {revision} is no longer kept')
+                return _refuse_base(f'revision {revision} is no longer kept')
             if other.note == note:
-                # Applied after the note's id was read: by a write whose
-                # answer was lost, or by another entry.
+                # The note was written after its id was read: by a commit
+                # whose answer was lost, or by another entry.
                 return Accepted(revision, is_repeat=True)
             fields = shared_fields(note, other.note)
             if fields:
@@ -165,11 +165,11 @@
             self._entry_id,
             note,
         )
-        outdated = await self._entry(
+        outdated = await self._read_entry(
             after.revision - records.HISTORY_COUNT,
             Urgency.JOB,
         )
-        guards, writes = records.acceptance(head, after, entry, outdated)
+        guards, writes = records.build_acceptance(head, after, entry, outdated)
         if any(_is_too_large(write.body) for write in writes):
             return NoteRefused(
                 Reason.BODY_TOO_LARGE,
@@ -195,7 +195,7 @@
                 return repeat
         return not_accepted(note, message, is_in_doubt=is_in_doubt)
 
-    async def _entry(
+    async def _read_entry(
         self,
         revision: int,
         urgency: Urgency,
@@ -210,7 +210,7 @@
             await trio.sleep(longest * (1 + self._jitter()) / 2)
 
 
-def _bad_base(message: str) -> NoteRefused:
+def _refuse_base(message: str) -> NoteRefused:
     return NoteRefused(
         Reason.NOTE_CONFLICT,
         f'based_on: {message}; compare the note with the configuration in '
@@ -228,9 +228,9 @@
     *,
     is_in_doubt: bool = False,
 ) -> NotRun | Unknown:
-    """Return "not run", or "unknown" after a lost answer."""
+    """Return the outcome "not run", or "unknown" after a lost answer."""
     # After a lost answer the write may still be applied, so "not run" is not
-    # proved. The same note can be submitted again without harm.
+    # proved. Submitting the same note again is safe.
     if is_in_doubt:
         return Unknown(Reason.STORE_ANSWER_LOST, message, note.note_id)
     return NotRun(Reason.STORE_UNAVAILABLE, message, RETRY_AFTER_S)
--- a/src/marjoramwharf/contracts/_note_records.py
+++ b/src/marjoramwharf/contracts/_note_records.py
@@ -1,8 +1,8 @@
 """The records of release notes in the store, and their encoding.
 
 ``/note/head`` holds the whole configuration in force, ``/note/<revision>``
-each accepted note, and ``/note/id/<note id>`` the revision of a note, so that
-a note that is submitted again is recognised.
+each accepted note, and ``/note/id/<note id>`` the revision of a note, by
+which a repeated submission is recognised.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 # The platform's store holds values of up to 1 MB.
 MAX_RECORD_BYTES = 1_000_000
 
-# About one day of changes at the two-year target.
+# Notes kept in the history: about one day of changes at the two-year target.
 HISTORY_COUNT = 20_000
 
 _Record = TypeVar('_Record', bound=Struct)
@@ -51,19 +51,19 @@
 
 
 class Head(Struct, frozen=True):
-    """The head as it was read; ``mod_revision`` 0 means that none exists."""
+    """The head record as read; ``mod_revision`` 0 means that none exists."""
 
     configuration: Configuration
     mod_revision: int
 
 
 def note_key(revision: int) -> str:
-    """Return the key of a note in the history."""
+    """Return the store key of an accepted note."""
     return f'/note/{revision}'
 
 
 def id_key(note_id: str) -> str:
-    """Return the key that tells whether a note was accepted."""
+    """Return the store key of the record of a note id."""
     return f'/note/id/{note_id}'
 
 
@@ -73,12 +73,12 @@
 
 
 def decode(stored: StoredValue, model: type[_Record]) -> _Record:
-    """Decode a record; one that can't be decoded counts as unavailable."""
+    """Decode a record; raises ``StoreUnavailable`` if its form is wrong."""
     try:
         return json.decode(stored.body, type=model)
     except MsgspecError as failure:
         raise StoreUnavailable(
-            message=f'{stored.key} has a body of another form: {failure}',
+            message=f'the record {stored.key} can not be decoded: {failure}',
         ) from failure
 
 
@@ -91,7 +91,7 @@
 
 
 async def read_id(store: Store, note_id: str) -> IdRecord | None:
-    """Read whether a note was accepted."""
+    """Read the record of a note id; ``None`` if no such note was accepted."""
     stored = await store.read(id_key(note_id), urgency=Urgency.JOB)
     return None if stored is None else decode(stored, IdRecord)
 
@@ -102,21 +102,21 @@
     *,
     urgency: Urgency,
 ) -> HistoryEntry | None:
-    """Read a note of the history; ``None`` if it was deleted."""
+    """Read an accepted note; ``None`` if it doesn't exist or was deleted."""
     stored = await store.read(note_key(revision), urgency=urgency)
     return None if stored is None else decode(stored, HistoryEntry)
 
 
-def acceptance(
+def build_acceptance(
     head: Head,
     after: Configuration,
     entry: HistoryEntry,
     outdated: HistoryEntry | None,
 ) -> tuple[list[Guard], list[Write]]:
-    """Return the one commit that accepts a note.
+    """Return the guards and writes of the commit that accepts a note.
 
-    It is guarded by the head's revision and by the absence of the note's id.
-    It deletes the note that has become too old for the history.
+    The guards require the head's revision and the absence of the note's id.
+    The commit deletes the ``outdated`` note from the history.
     """
     note = entry.note
     id_record = IdRecord(entry.revision, digest_of(note))
--- a/src/marjoramwharf/contracts/_sampled.py
+++ b/src/marjoramwharf/contracts/_sampled.py
@@ -1,4 +1,4 @@
-"""Sets from which random members are drawn in constant time."""
+"""Sets whose members can be sampled at random in constant time."""
 
 from __future__ import annotations
 
@@ -12,53 +12,53 @@
 
 
 class SampledSet(Generic[_Member]):
-    """Members in a list, with the position of each for its removal."""
+    """A set kept as a list, with an index of positions for fast removal."""
 
     def __init__(self) -> None:
         """Start empty."""
         self._members: list[_Member] = []
-        self._position: dict[_Member, int] = {}
+        self._positions: dict[_Member, int] = {}
 
     def __len__(self) -> int:
         """Return the number of members."""
         return len(self._members)
 
     def add(self, member: _Member) -> None:
-        """Add a member once."""
-        if member not in self._position:
-            self._position[member] = len(self._members)
+        """Add a member unless it is present."""
+        if member not in self._positions:
+            self._positions[member] = len(self._members)
             self._members.append(member)
 
     def discard(self, member: _Member) -> None:
-        """Remove a member if present, by moving the last into its place."""
-        place = self._position.pop(member, None)
-        if place is None:
+        """Remove a member if present; the last one takes its position."""
+        position = self._positions.pop(member, None)
+        if position is None:
             return
         last = self._members.pop()
-        if place < len(self._members):
-            self._members[place] = last
-            self._position[last] = place
+        if position < len(self._members):
+            self._members[position] = last
+            self._positions[last] = position
 
     def sample(self, rng: random.Random, count: int) -> list[_Member]:
-        """Return up to ``count`` distinct members."""
+        """Return up to ``count`` distinct random members."""
         size = len(self._members)
-        places = rng.sample(range(size), min(count, size))
-        return [self._members[place] for place in places]
+        positions = rng.sample(range(size), min(count, size))
+        return [self._members[position] for position in positions]
 
 
 class ServiceIndex:
-    """The workers with a free permit, for each service."""
+    """Indexes the workers with a free permit by service."""
 
     def __init__(
         self,
         services_of: Callable[[WorkerId], frozenset[str]],
     ) -> None:
-        """Start empty; ``services_of`` names the services of a worker."""
+        """Start empty; ``services_of`` returns the services of a worker."""
         self._services_of = services_of
         self._workers: dict[str, SampledSet[WorkerId]] = {}
 
     def update(self, worker_id: WorkerId, *, has_free: bool) -> None:
-        """Add or remove a worker."""
+        """Add a worker to its services, or remove it without a free permit."""
         for service in self._services_of(worker_id):
             workers = self._workers.setdefault(service, SampledSet())
             if has_free:
--- a/src/marjoramwharf/contracts/allocator.py
+++ b/src/marjoramwharf/contracts/allocator.py
@@ -1,7 +1,8 @@
-"""Answers of a capacity owner to borrowers and to job owners.
+"""Allocation of the owned workers' capacity to borrowers and job owners.
 
-The desk holds the ledgers of the owned workers. It does no I/O; the present
-time in monotonic seconds is an argument.
+The allocator keeps one ledger for each owned worker. It lends slots in grants
+and reserves processors, memory and accelerators for task attempts. It does no
+I/O; callers pass the present time in monotonic seconds.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
 from marjoramwharf.ids import EntryId, GrantId, Incarnation, TaskId, WorkerId
 from marjoramwharf.machines.calls import Demand
 
-# Workers that one request for any slots is spread over.
-_SPREAD_COUNT = 8
+# Most workers that one request for any slots is spread over.
+_MAX_SPREAD_COUNT = 8
 
-_SEPARATOR = '@'
-# Bounds the text of the epoch and the attempt before they are parsed.
-_FENCE_DIGITS = 40
+_ID_SEPARATOR = '@'
+# Bounds the text of epoch and attempt, sent by peers, before it is parsed.
+_MAX_FENCE_LENGTH = 40
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptRequest:
-    """What a job owner asks for when it reserves.
+    """A job owner's request to reserve capacity for a task attempt.
 
     ``fence`` is the epoch of the job shard and the number of the attempt.
     ``declared`` is the size that the team stated, ``demand`` the size to
@@ -53,20 +54,20 @@
 
 
 def _ignore(_worker_id: WorkerId, _attempt: AttemptKey) -> None:
-    """Do nothing; the default where nobody follows the releases."""
+    """Do nothing; the default callback for released reservations."""
 
 
 def choose_most_free(
     ledgers: Ledgers,
-    placement: AttemptRequest,
+    request: AttemptRequest,
     now_s: float,
 ) -> WorkerLedger | None:
-    """Return the ledger with most free processors; looks at all of them."""
+    """Return the fitting ledger with most free processors; scan them all."""
     return max(
         (
-            one
-            for one in ledgers.values()
-            if has_capacity(one, placement, now_s)
+            candidate
+            for candidate in ledgers.values()
+            if has_capacity(candidate, request, now_s)
         ),
         key=lambda ledger: ledger.reservations.free.cpu_millicores,
         default=None,
@@ -75,30 +76,30 @@
 
 def has_capacity(
     ledger: WorkerLedger,
-    placement: AttemptRequest,
+    request: AttemptRequest,
     now_s: float,
 ) -> bool:
-    """Tell whether a worker may take a task attempt now."""
+    """Tell whether a worker has capacity for a task attempt now."""
     worker = ledger.worker
     return (
         ledger.accepts_work(now_s)
-        and worker.rack not in placement.avoid_racks
-        and worker.worker_id not in placement.avoid_workers
-        and ledger.reservations.has_capacity(placement.demand)
+        and worker.rack not in request.avoid_racks
+        and worker.worker_id not in request.avoid_workers
+        and ledger.reservations.has_capacity(request.demand)
     )
 
 
 class CapacityAllocator:
-    """The ledgers of the owned workers.
+    """Allocates the capacity of the owned workers from their ledgers.
 
-    ``choose`` picks a ledger for a task, ``None`` if it finds none.
+    ``choose`` selects the ledger for a task attempt, or returns ``None``.
     """
 
     def __init__(self, choose: Chooser = choose_most_free) -> None:
         """Start without workers."""
         self.ledgers: dict[WorkerId, WorkerLedger] = {}
         self.choose = choose
-        # A repeat of Reserve must return the same worker.
+        # A repeated Reserve message must return the same worker.
         self._placed: dict[AttemptKey, tuple[WorkerId, AttemptRequest]] = {}
         self.on_released: Callable[[WorkerId, AttemptKey], None] = _ignore
 
@@ -109,7 +110,7 @@
         wants: Sequence[tuple[WorkerId, int]],
         now_s: float,
     ) -> list[Grant]:
-        """Lend slots of named workers, as far as they are free."""
+        """Lend slots of the named workers, as many as are free."""
         grants = []
         for worker_id, slots_count in wants:
             ledger = self.ledgers.get(worker_id)
@@ -132,7 +133,7 @@
         *,
         excluded: Collection[WorkerId] = (),
     ) -> list[tuple[WorkerId, int]]:
-        """Divide a request for any slots over the workers with most free.
+        """Divide a request for any slots among the workers with most free.
 
         At most half of a worker's free slots go to one request, so that one
         borrower does not take all of a worker.
@@ -146,7 +147,7 @@
         ]
         free.sort(key=operator.itemgetter(1), reverse=True)
         wants = []
-        for worker_id, free_count in free[:_SPREAD_COUNT]:
+        for worker_id, free_count in free[:_MAX_SPREAD_COUNT]:
             count = min(slots_count, (free_count + 1) // 2)
             if count > 0:
                 wants.append((worker_id, count))
@@ -159,7 +160,7 @@
         grant_ids: Sequence[GrantId],
         now_s: float,
     ) -> tuple[list[Grant], list[GrantId]]:
-        """Renew grants; the second list names those refused."""
+        """Renew grants; return the renewed grants and the refused ids."""
         renewed: list[Grant] = []
         refused: list[GrantId] = []
         for grant_id in grant_ids:
@@ -178,42 +179,43 @@
         borrower: EntryId,
         shares: Sequence[GrantShare],
     ) -> None:
-        """Free returned slots."""
+        """Free the slots that a borrower returns."""
         for share in shares:
             ledger = self.ledgers.get(worker_id_of(share.grant_id))
             if ledger is not None:
                 ledger.give_back(borrower, share.grant_id, share.slots_count)
 
-    def reserve(self, placement: AttemptRequest, now_s: float) -> WorkerLedger:
-        """Reserve for a task attempt; a repeat returns the same worker.
+    def reserve(self, request: AttemptRequest, now_s: float) -> WorkerLedger:
+        """Reserve capacity for a task attempt on one worker.
 
-        Raises ``PeerRefused`` if the task fits on no owned worker.
+        A repeated request returns the same worker. Raises ``PeerRefused`` if
+        the task fits on no owned worker.
         """
-        attempt = (placement.task_id, placement.fence)
-        holder = self._holder_of(attempt)
+        attempt = (request.task_id, request.fence)
+        holder = self._ledger_holding(attempt)
         if holder is not None:
             return holder
-        chosen = self.choose(self.ledgers, placement, now_s)
-        if chosen is None or not has_capacity(chosen, placement, now_s):
-            raise PeerRefused(message='no worker has room', retry_after_s=1)
-        chosen.reservations.reserve(*attempt, placement.demand, now_s)
-        self._placed[attempt] = (chosen.worker.worker_id, placement)
+        chosen = self.choose(self.ledgers, request, now_s)
+        if chosen is None or not has_capacity(chosen, request, now_s):
+            raise PeerRefused(message='no worker has capacity', retry_after_s=1)
+        chosen.reservations.reserve(*attempt, request.demand, now_s)
+        self._placed[attempt] = (chosen.worker.worker_id, request)
         return chosen
 
     def release(self, reservation: str) -> None:
-        """End a reservation whose attempt the worker has ended."""
-        fence, _, rest = reservation.partition(_SEPARATOR)
-        task_id, _, worker_id = rest.partition(_SEPARATOR)
+        """Release a reservation whose attempt has ended; ignore a bad id."""
+        fence, _, task_and_worker = reservation.partition(_ID_SEPARATOR)
+        task_id, _, worker_id = task_and_worker.partition(_ID_SEPARATOR)
         epoch, _, number = fence.partition('.')
         is_fence = epoch.isdecimal() and number.isdecimal()
-        if is_fence and len(fence) <= _FENCE_DIGITS:
+        if is_fence and len(fence) <= _MAX_FENCE_LENGTH:
             self.release_attempt(
                 WorkerId(worker_id),
                 (TaskId(task_id), (int(epoch), int(number))),
             )
 
     def release_attempt(self, worker_id: WorkerId, attempt: AttemptKey) -> None:
-        """End the reservation of an attempt on a worker."""
+        """Release the reservation of a task attempt on a worker."""
         placed = self._placed.get(attempt)
         if placed is not None and placed[0] == worker_id:
             self._placed.pop(attempt)
@@ -223,17 +225,17 @@
             self.on_released(worker_id, attempt)
 
     def forget_ended(self) -> None:
-        """Forget where attempts were reserved that no ledger holds."""
+        """Drop the requests of attempts that no ledger holds any longer."""
         for attempt in tuple(self._placed):
-            if self._holder_of(attempt) is None:
+            if self._ledger_holding(attempt) is None:
                 self._placed.pop(attempt)
 
     def request_of(self, attempt: AttemptKey) -> AttemptRequest | None:
-        """Return what was asked for an attempt that is reserved here."""
+        """Return the request of an attempt that is reserved here."""
         placed = self._placed.get(attempt)
         return None if placed is None else placed[1]
 
-    def _holder_of(self, attempt: AttemptKey) -> WorkerLedger | None:
+    def _ledger_holding(self, attempt: AttemptKey) -> WorkerLedger | None:
         placed = self._placed.get(attempt)
         ledger = None if placed is None else self.ledgers.get(placed[0])
         if ledger is None or not ledger.reservations.holds(*attempt):
@@ -241,8 +243,8 @@
         return ledger
 
 
-def reservation_id(placement: AttemptRequest, worker_id: WorkerId) -> str:
-    """Return the id that ``release`` takes; ids of tasks have no ``@``."""
-    epoch, number = placement.fence
-    parts = (f'{epoch}.{number}', placement.task_id, worker_id)
-    return _SEPARATOR.join(parts)
+def reservation_id(request: AttemptRequest, worker_id: WorkerId) -> str:
+    """Return the id that ``release`` takes; task ids contain no ``@``."""
+    epoch, number = request.fence
+    parts = (f'{epoch}.{number}', request.task_id, worker_id)
+    return _ID_SEPARATOR.join(parts)
--- a/src/marjoramwharf/contracts/borrowing.py
+++ b/src/marjoramwharf/contracts/borrowing.py
@@ -1,4 +1,4 @@
-"""The borrower's side of lending: borrow, renew and return at peers."""
+"""The borrower's side of lending: borrow, renew and return grants."""
 
 from __future__ import annotations
 
@@ -27,32 +27,31 @@
 
 _LOG = part_logger('capacity')
 
-# Covers one round trip between data centres several times over, and is well
-# below the time of a grant.
+# Several round trips between data centres; well below the lifetime of a grant.
 PEER_TIMEOUT_S = 0.5
 
-# One message serves this many calls at once; unused slots are returned.
+# Slots borrowed with one message, for as many calls; unused ones are returned.
 BULK_SLOTS_COUNT = 4
 
-# Owners asked for one supply before it counts as failed.
-_OWNERS_ASKED_COUNT = 3
+# Owners that are asked for one refill before it counts as failed.
+_MAX_OWNERS_ASKED_COUNT = 3
 
 
-async def _nothing_open(_worker_id: WorkerId) -> None:
+async def _close_nothing(_worker_id: WorkerId) -> None:
     """Do nothing; the default where no connections are kept open."""
 
 
 class PeerCaller(Protocol):
-    """The part of ``PeerClient`` that is needed here."""
+    """The method of ``PeerClient`` that the borrower uses."""
 
     async def call(self, message: Message, *, timeout_s: float) -> Message:
         """Send a message; raises ``PeerUnreachable`` or ``PeerRefused``."""
 
 
 class Borrower:
-    """Keeps a wallet supplied from the own desk and from peers.
+    """Fills a permit pool with grants of the own allocator and of peers.
 
-    ``peers`` returns the connections to the live peers, ``now`` the present
+    ``peers`` returns the clients of the live peers, ``now`` the present time
     in monotonic seconds. Set ``close_connections`` to a function that closes
     the idle connections to a worker; it runs before a session is returned.
     """
@@ -69,24 +68,24 @@
         """Start without grants."""
         self.lenders: dict[GrantId, EntryId] = {}
         self.close_connections: Callable[[WorkerId], Awaitable[None]]
-        self.close_connections = _nothing_open
+        self.close_connections = _close_nothing
         self._identity = identity
         self._permit_pool = permit_pool
         self._allocator = allocator
         self._peers = peers
         self._now = now
         self._summaries: dict[EntryId, Sequence[Message]] = {}
-        self._turns = itertools.count()
+        self._rotation = itertools.count()
 
     def record_summary(self, sender: EntryId, message: Message) -> None:
-        """Keep a peer's free slots, and drop grants of leaving workers."""
+        """Store a peer's free slots, and drop grants of leaving workers."""
         self._summaries[sender] = message.workers
         for worker in message.workers:
             if worker.leaving:
                 self.drop_worker(WorkerId(worker.worker_id))
 
     def forget_peer(self, entry_id: EntryId) -> None:
-        """Forget the free slots of a peer."""
+        """Remove the stored summary of a peer that has left."""
         self._summaries.pop(entry_id, None)
 
     def drop_revoked(
@@ -94,7 +93,7 @@
     ) -> None:
         """Drop the grants that their lender has revoked."""
         self.drop_grants(
-            [name for name in grant_ids if self.lenders.get(name) == lender],
+            [key for key in grant_ids if self.lenders.get(key) == lender],
         )
 
     def drop_grants(self, grant_ids: Collection[GrantId]) -> None:
@@ -106,7 +105,7 @@
     def drop_worker(self, worker_id: WorkerId) -> None:
         """Drop all grants of one worker."""
         self.drop_grants(
-            [name for name in self.lenders if worker_id_of(name) == worker_id]
+            [key for key in self.lenders if worker_id_of(key) == worker_id]
         )
 
     def borrow_locally(
@@ -115,7 +114,7 @@
         excluded: Collection[WorkerId],
         now_s: float,
     ) -> None:
-        """Lend from the own ledgers to the own wallet, without a message."""
+        """Borrow from the own allocator, without a message."""
         wants = self._allocator.spread(
             service,
             BULK_SLOTS_COUNT,
@@ -130,23 +129,27 @@
             now_s,
         )
         for grant in grants:
-            self._add(grant, own_id, now_s)
+            self._add_grant(grant, own_id, now_s)
 
     async def borrow(self, service: ServiceId) -> bool:
-        """Borrow in bulk from the owners that showed most free slots."""
+        """Borrow from the peers whose summaries showed most free slots.
+
+        Returns whether a peer lent a grant.
+        """
         peers = self._peers()
         free = {
-            entry_id: self._free_slots(entry_id, service) for entry_id in peers
+            entry_id: self._shown_free_slots(entry_id, service)
+            for entry_id in peers
         }
-        # Summaries are up to a second old, so owners that showed nothing are
-        # asked too; the turn decides between equal ones.
-        start = next(self._turns) % max(1, len(free))
-        names = sorted(free)
+        # Summaries are up to a second old, so owners that showed no free slot
+        # are asked too; equal ones are asked in rotation.
+        start = next(self._rotation) % max(1, len(free))
+        entry_ids = sorted(free)
         ranked = sorted(
-            names[start:] + names[:start],
+            entry_ids[start:] + entry_ids[:start],
             key=lambda entry_id: -free[entry_id],
         )
-        for entry_id in ranked[:_OWNERS_ASKED_COUNT]:
+        for entry_id in ranked[:_MAX_OWNERS_ASKED_COUNT]:
             lent = await self._borrow_from(entry_id, peers[entry_id], service)
             if lent:
                 return True
@@ -156,56 +159,59 @@
     async def renew(self) -> None:
         """Renew all grants, with one message for each lender."""
         self._permit_pool.drop_expired(self._now())
-        held = set(self._permit_pool.renewable_grants())
+        renewable = set(self._permit_pool.renewable_grants())
         self.lenders = {
             grant_id: lender
             for grant_id, lender in self.lenders.items()
-            if grant_id in held
+            if grant_id in renewable
         }
         by_lender: dict[EntryId, list[GrantId]] = {}
         for grant_id, lender in self.lenders.items():
             by_lender.setdefault(lender, []).append(grant_id)
-        # Side by side: one peer that hangs must not let other grants expire.
+        # In parallel: a peer that hangs must not let other grants expire.
         async with trio.open_nursery() as nursery:
             for lender, grant_ids in by_lender.items():
-                nursery.start_soon(self._renew_at, lender, grant_ids)
+                nursery.start_soon(self._renew_at_lender, lender, grant_ids)
 
     async def return_idle(self, *, idle_after_s: float) -> None:
-        """Return the permits that were not used for some time."""
+        """Return the free permits of grants idle for ``idle_after_s``.
+
+        Connections to workers without a renewable grant are closed first.
+        """
         shares = self._permit_pool.withdraw_idle(
             self._now(), idle_after_s=idle_after_s
         )
-        kept = {
-            worker_id_of(name) for name in self._permit_pool.renewable_grants()
+        workers_in_use = {
+            worker_id_of(key) for key in self._permit_pool.renewable_grants()
         }
-        for worker_id in {share.worker_id for share in shares} - kept:
+        for worker_id in {share.worker_id for share in shares} - workers_in_use:
             await self.close_connections(worker_id)
-        await self._return_all(shares)
+        await self._return_shares(shares)
 
     async def return_surplus(self, *, min_free_count: int) -> None:
-        """Return the permits that were not needed of late.
+        """Return the permits that were not needed since the last call.
 
         Connections stay open: the worker is likely to be borrowed again, and
         the owner counts the session until they are closed.
         """
-        await self._return_all(
+        await self._return_shares(
             self._permit_pool.withdraw_surplus(min_free_count=min_free_count),
         )
 
-    async def _return_all(self, shares: list[GrantShare]) -> None:
+    async def _return_shares(self, shares: list[GrantShare]) -> None:
         shares.sort(key=self._lender_of)
         async with trio.open_nursery() as nursery:
             for lender, group in itertools.groupby(shares, self._lender_of):
-                nursery.start_soon(self._return_to, lender, list(group))
+                nursery.start_soon(self._return_to_lender, lender, list(group))
 
     def _lender_of(self, share: GrantShare) -> EntryId:
         return self.lenders.get(share.grant_id, EntryId(''))
 
-    def _add(self, grant: Grant, lender: EntryId, now_s: float) -> None:
+    def _add_grant(self, grant: Grant, lender: EntryId, now_s: float) -> None:
         self.lenders[grant.grant_id] = lender
         self._permit_pool.add(grant, now_s)
 
-    def _free_slots(self, entry_id: EntryId, service: ServiceId) -> int:
+    def _shown_free_slots(self, entry_id: EntryId, service: ServiceId) -> int:
         return sum(
             worker.free_slots_count
             for worker in self._summaries.get(entry_id, ())
@@ -233,12 +239,12 @@
         reply = await call_peer(peer, request)
         grants = () if reply is None else reply.grants
         for message in grants:
-            self._add(
+            self._add_grant(
                 grant_from_message(message, sent_at_s), lender, self._now()
             )
         return bool(grants)
 
-    async def _renew_at(
+    async def _renew_at_lender(
         self,
         lender: EntryId,
         grant_ids: list[GrantId],
@@ -264,7 +270,7 @@
             self._permit_pool.renew(grant.grant_id, grant.expires_at_s)
         self.drop_grants(list(map(GrantId, reply.refused)))
 
-    async def _return_to(
+    async def _return_to_lender(
         self,
         lender: EntryId,
         shares: list[GrantShare],
@@ -285,14 +291,17 @@
             ],
         )
         if await call_peer(self._peers().get(lender), request) is None:
-            # Sent again, a return that had arrived would free slots twice.
+            # A repeat of a return that had arrived would free slots twice.
             self._permit_pool.mark_return_failed(
                 [share.grant_id for share in shares]
             )
 
 
 def grant_from_message(message: Message, sent_at_s: float) -> Grant:
-    """Return the grant of a message; it expires counted from the sending."""
+    """Return the grant of a message.
+
+    Its lifetime counts from ``sent_at_s``, when the request was sent.
+    """
     return Grant(
         grant_id=GrantId(message.grant_id),
         worker_id=WorkerId(message.worker_id),
@@ -304,7 +313,7 @@
 
 
 def grant_message(grant: Grant, now_s: float) -> Message:
-    """Return the message that carries a grant with the time left."""
+    """Return the message for a grant, with its remaining lifetime."""
     return ttypes.GrantMessage(
         grant_id=grant.grant_id,
         worker_id=grant.worker_id,
@@ -318,7 +327,7 @@
 async def call_peer(
     peer: PeerCaller | None, message: Message
 ) -> Message | None:
-    """Call a peer; ``None`` if it was not reached or refused."""
+    """Call a peer; return ``None`` if it is unreachable or refuses."""
     if peer is None:
         return None
     try:
--- a/src/marjoramwharf/contracts/capacity_handlers.py
+++ b/src/marjoramwharf/contracts/capacity_handlers.py
@@ -1,4 +1,4 @@
-"""The handlers of the lending messages between entries."""
+"""Handlers of the capacity messages between entries."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def summary_message(
     identity: PeerIdentity, allocator: CapacityAllocator
 ) -> Message:
-    """Return the message that shows the free slots of the owned workers."""
+    """Return the message with the free capacity of the owned workers."""
     return ttypes.Summary(
         entry_id=identity.entry_id,
         incarnation=identity.incarnation,
@@ -40,7 +40,7 @@
 
 
 def free_millicores(allocator: CapacityAllocator) -> int:
-    """Return the processors of the usable owned workers that are free."""
+    """Return the free processors of the owned workers that are usable."""
     return sum(
         max(0, ledger.reservations.free.cpu_millicores)
         for ledger in allocator.ledgers.values()
@@ -58,7 +58,7 @@
 
 
 class CapacityHandlers:
-    """Answers peers from the desk, and takes their news to the borrower.
+    """Answers peers from the allocator, and passes events to the borrower.
 
     The sender is the identity that was proved in Hello, never a name that a
     message states.
@@ -71,13 +71,13 @@
         *,
         now: Callable[[], float],
     ) -> None:
-        """Keep the parts; ``now`` is the present in monotonic seconds."""
+        """Set up the handlers; ``now`` returns monotonic seconds."""
         self._allocator = allocator
         self._borrower = borrower
         self._now = now
 
     def handlers(self) -> dict[type, Handler]:
-        """Return the table for the peer server."""
+        """Return the handler of each message type for the peer server."""
         return {
             ttypes.Borrow: self._on_borrow,
             ttypes.Renew: self._on_renew,
@@ -89,14 +89,14 @@
             ttypes.Leaving: self._on_leaving,
         }
 
-    async def _on_borrow(self, sender: PeerIdentity, asked: Message) -> Message:
+    async def _on_borrow(self, sender: PeerIdentity, call: Message) -> Message:
         now_s = self._now()
         wants = [
-            (WorkerId(want.worker_id), want.slots_count) for want in asked.wants
+            (WorkerId(want.worker_id), want.slots_count) for want in call.wants
         ]
         wants += self._allocator.spread(
-            ServiceId(asked.service_id),
-            asked.any_slots_count,
+            ServiceId(call.service_id),
+            call.any_slots_count,
             now_s,
         )
         grants = self._allocator.lend(
@@ -109,11 +109,11 @@
             grants=[grant_message(grant, now_s) for grant in grants],
         )
 
-    async def _on_renew(self, sender: PeerIdentity, asked: Message) -> Message:
+    async def _on_renew(self, sender: PeerIdentity, call: Message) -> Message:
         now_s = self._now()
         renewed, refused = self._allocator.renew(
             sender.entry_id,
-            list(map(GrantId, asked.grant_ids)),
+            list(map(GrantId, call.grant_ids)),
             now_s,
         )
         return ttypes.Renewed(
@@ -124,7 +124,7 @@
     async def _on_give_back(
         self,
         sender: PeerIdentity,
-        returned: Message,
+        call: Message,
     ) -> Message:
         shares = [
             GrantShare(
@@ -132,39 +132,41 @@
                 WorkerId(share.worker_id),
                 share.slots_count,
             )
-            for share in returned.shares
+            for share in call.shares
         ]
         self._allocator.give_back(sender.entry_id, shares)
         return ttypes.Ack()
 
-    async def _on_revoke(self, sender: PeerIdentity, news: Message) -> Message:
+    async def _on_revoke(self, sender: PeerIdentity, call: Message) -> Message:
         self._borrower.drop_revoked(
-            sender.entry_id, map(GrantId, news.grant_ids)
+            sender.entry_id, map(GrantId, call.grant_ids)
         )
         return ttypes.Ack()
 
-    async def _on_summary(self, sender: PeerIdentity, news: Message) -> Message:
-        self._borrower.record_summary(sender.entry_id, news)
+    async def _on_summary(self, sender: PeerIdentity, call: Message) -> Message:
+        self._borrower.record_summary(sender.entry_id, call)
         return ttypes.Ack()
 
     async def _on_reserve(
         self,
         _sender: PeerIdentity,
-        asked: Message,
+        call: Message,
     ) -> Message:
-        placement = AttemptRequest(
-            task_id=TaskId(asked.task_id),
-            fence=(asked.shard_epoch or 0, asked.attempt),
-            demand=demand_of(asked.demand),
-            task_class=asked.task_class,
-            priority=asked.priority,
-            avoid_racks=frozenset(asked.avoid_racks),
-            avoid_workers=frozenset(map(WorkerId, asked.avoid_workers or ())),
-            declared=demand_of(asked.declared or asked.demand),
+        attempt_request = AttemptRequest(
+            task_id=TaskId(call.task_id),
+            fence=(call.shard_epoch or 0, call.attempt),
+            demand=demand_of(call.demand),
+            task_class=call.task_class,
+            priority=call.priority,
+            avoid_racks=frozenset(call.avoid_racks),
+            avoid_workers=frozenset(map(WorkerId, call.avoid_workers or ())),
+            declared=demand_of(call.declared or call.demand),
         )
-        ledger = self._allocator.reserve(placement, self._now())
+        ledger = self._allocator.reserve(attempt_request, self._now())
         return ttypes.Reserved(
-            reservation_id=reservation_id(placement, ledger.worker.worker_id),
+            reservation_id=reservation_id(
+                attempt_request, ledger.worker.worker_id
+            ),
             worker_id=ledger.worker.worker_id,
             worker_url=ledger.worker.url,
             epoch=ledger.epoch,
@@ -173,13 +175,13 @@
     async def _on_release(
         self,
         _sender: PeerIdentity,
-        asked: Message,
+        call: Message,
     ) -> Message:
-        self._allocator.release(asked.reservation_id)
+        self._allocator.release(call.reservation_id)
         return ttypes.Ack()
 
     async def _on_leaving(
-        self, sender: PeerIdentity, _news: Message
+        self, sender: PeerIdentity, _call: Message
     ) -> Message:
         self._borrower.forget_peer(EntryId(sender.entry_id))
         return ttypes.Ack()
--- a/src/marjoramwharf/contracts/claim_values.py
+++ b/src/marjoramwharf/contracts/claim_values.py
@@ -1,4 +1,4 @@
-"""Claims as values: the stored record and the outcomes of a write."""
+"""The stored record of a claim and the outcomes of a write to it."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 class ClaimRecord(msgspec.Struct, frozen=True):
     """A claim as it is stored, in MessagePack.
 
-    ``writer`` changes with every write, which settles a lost store answer.
-    ``status`` is ``None`` while the claim is open. ``body`` is ``None`` in a
-    completed claim whose answer was too large to keep. ``incarnation`` is
-    that of the worker's process which the call was meant for.
+    ``writer`` is fresh for every write, so that a writer recognises its own
+    write after the store's answer was lost. ``status`` is ``None`` while the
+    claim is open. ``body`` is ``None`` in a completed claim whose answer was
+    too large to store. ``incarnation`` is that of the worker process to which
+    the call was sent.
     """
 
     digest: str
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimHeld:
-    """The claim was written; its call may be dispatched."""
+    """The claim was written by the caller, whose call may be dispatched."""
 
     claim: Claim
 
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimWithdrawn:
-    """The claim that was to be changed has been withdrawn."""
+    """The claim is no longer in the store; it has been withdrawn."""
 
 
 ClaimOutcome: TypeAlias = ClaimHeld | ClaimExists | ClaimWithdrawn
--- a/src/marjoramwharf/contracts/claims.py
+++ b/src/marjoramwharf/contracts/claims.py
@@ -1,4 +1,4 @@
-"""Claims of non-idempotent requests in the store.
+"""Claims that let a non-idempotent request run once, kept in the store.
 
 A claim is created before the first dispatch and completed with the answer. It
 names the worker and the call, so that any entry can settle it later. Writes
@@ -33,9 +33,9 @@
 class ClaimStore:
     """Reads and writes claims; ``run`` must be running for the writes.
 
-    Claims of one entry share leases that are granted for a bucket of time, so
-    that a claim costs no lease of its own. A claim lives for ``ttl_s`` to
-    1.05 times ``ttl_s`` after its last write.
+    The claims that one entry writes in the same time bucket share a store
+    lease, so that no claim costs a lease of its own. A claim lives for
+    ``ttl_s`` to 1.05 times ``ttl_s`` after its last write.
     """
 
     def __init__(
@@ -46,21 +46,21 @@
         body_limit_bytes: int,
         clock: Callable[[], float],
     ) -> None:
-        """Use a store; ``clock`` returns monotonic seconds."""
+        """Set up the writer; ``clock`` returns monotonic seconds."""
         self._body_limit_bytes = body_limit_bytes
         lease = BucketLease(store, ttl_s=ttl_s)
         self._writer = ClaimWriter(store, lease, clock)
 
     async def run(self) -> None:
-        """Write what is queued, until cancelled."""
+        """Write queued claims until cancelled."""
         await self._writer.run()
 
     async def wait_until_drained(self) -> None:
-        """Wait until all completions are written, for a planned stop."""
+        """Wait until all queued writes are done, for a planned stop."""
         await self._writer.wait_until_drained()
 
     async def look_up(self, team: TeamId, key: str) -> Claim | None:
-        """Read a claim; raises ``StoreUnavailable``."""
+        """Read a claim, if there is one; raises ``StoreUnavailable``."""
         return await self._writer.read(claim_key(team, key))
 
     async def create(
@@ -73,9 +73,10 @@
         call_id: CallId,
         incarnation: Incarnation,
     ) -> ClaimOutcome:
-        """Create a claim, or find the one that exists.
+        """Create a claim, or return the one that exists.
 
-        Raises a store failure; the call must then not be dispatched.
+        Raises the ``Failure`` of the store; the call must then not be
+        dispatched.
         """
         record = ClaimRecord(
             digest,
@@ -97,9 +98,9 @@
         call_id: CallId,
         incarnation: Incarnation,
     ) -> ClaimOutcome:
-        """Move a claim to a new attempt after its call proved never to run.
+        """Move a claim to a new attempt; its former call is proved not to run.
 
-        Only one of several callers with the same claim succeeds.
+        Of several callers with the same claim only one succeeds.
         """
         record = ClaimRecord(
             claim.record.digest,
@@ -114,10 +115,10 @@
         )
 
     async def withdraw(self, claim: Claim) -> bool:
-        """Delete a claim whose call proved never to run.
+        """Delete a claim whose call is proved not to run.
 
-        ``False`` means that it was taken over, so its request may yet run.
-        Raises a store failure.
+        ``False`` means that it was taken over, so its request may still run.
+        Raises the ``Failure`` of the store.
         """
         outcome = await self._write(
             PendingWrite(claim.key, claim.revision, None, True),
@@ -125,7 +126,10 @@
         return isinstance(outcome, ClaimWithdrawn)
 
     def complete(self, claim: Claim, answer: CallAnswer) -> None:
-        """Keep an answer; it is written in the background."""
+        """Queue the answer of a claim's call for a write in the background.
+
+        The body is stored only up to the limit, its digest in any case.
+        """
         is_kept = len(answer.body) <= self._body_limit_bytes
         record = msgspec.structs.replace(
             claim.record,
@@ -142,7 +146,10 @@
             is_urgent=False,
         )
         if not self._writer.add(pending):
-            _log.warning('completion dropped', call=claim.record.call_id)
+            _log.warning(
+                'claim completion dropped: queue is full',
+                call=claim.record.call_id,
+            )
 
     async def _write(self, pending: PendingWrite) -> ClaimOutcome:
         self._writer.add(pending)
@@ -159,7 +166,7 @@
 
 
 def request_digest(service: str, content_type: str, body: bytes) -> str:
-    """Return the digest that a repeat of a request must have.
+    """Return the digest of a request; a repeat of it must have the same.
 
     >>> request_digest('notice', 'text/plain', b'')[:8]
     '30b2c0a3'
--- a/src/marjoramwharf/contracts/configuration.py
+++ b/src/marjoramwharf/contracts/configuration.py
@@ -1,7 +1,7 @@
-"""The configuration in force, and how a release note changes it.
+"""The configuration in force, and the changes that a release note makes.
 
 The functions are pure. All entries apply the same notes in the order of
-their revisions, so they hold the same configuration.
+their revisions, so they arrive at the same configuration.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Limits(Struct, frozen=True):
-    """Limits of the queue: as a whole, per team and per caller."""
+    """Queue limits: in total, per team and per caller."""
 
     queue_count: int = 512
     team_count: int = 256
@@ -33,7 +33,7 @@
 
 
 class Policy(Struct, frozen=True):
-    """Weights of the three measures, and the routing rule."""
+    """Weights of the three scheduling objectives, and the routing rule."""
 
     tail_latency: float = 1
     throughput: float = 1
@@ -58,10 +58,10 @@
 
 
 class IncompatibleNote(BadNote):
-    """A note that does not fit the configuration, with all its problems."""
+    """A note can't be applied to the configuration; lists all problems."""
 
     def __init__(self, problems: Sequence[Problem]) -> None:
-        """Keep the problems; the message lists them."""
+        """Store the problems; the message lists them."""
         self.problems = tuple(problems)
         super().__init__(
             message='; '.join(
@@ -73,13 +73,13 @@
 def apply_note(
     configuration: Configuration, note: ReleaseNote
 ) -> Configuration:
-    """Return the configuration with the next revision.
+    """Return the next revision of the configuration, with the note applied.
 
-    Raises ``IncompatibleNote`` when the note does not fit what is in force.
+    Raises ``IncompatibleNote`` when the note does not fit the configuration.
     """
     problems: list[Problem] = []
     merged = {
-        section: _merge(
+        section: _merge_section(
             section,
             getattr(configuration, section),
             getattr(note, section),
@@ -102,43 +102,45 @@
         ),
         **merged,
     )
-    problems.extend(_cross_check(after, note))
+    problems.extend(_check_consistency(after, note))
     if problems:
         raise IncompatibleNote(problems)
     return after
 
 
-def _merge(
+def _merge_section(
     section: str,
     in_force: tuple[Any, ...],
     changes: Any,
     problems: list[Problem],
 ) -> tuple[Any, ...]:
-    things = {thing.identity: thing for thing in in_force}
+    items = {item.identity: item for item in in_force}
     named: set[str] = set()
     for kind in ('withdrawn', 'changed', 'added'):
         for index, declared in enumerate(getattr(changes, kind)):
             key = identity_of(declared)
-            fault = _fault(key, key in things, key in named, kind)
+            fault = _find_fault(key, key in items, key in named, kind)
             named.add(key)
             if fault:
                 path = f'$.{section}.{kind}[{index}]'
                 problems.append(Problem(path, fault))
             else:
-                _put(things, kind, key, declared)
-    return tuple(things[key] for key in sorted(things))
+                _apply_change(items, kind, key, declared)
+    return tuple(items[key] for key in sorted(items))
 
 
-def _put(things: dict[str, Any], kind: str, key: str, declared: Any) -> None:
+def _apply_change(
+    items: dict[str, Any], kind: str, key: str, declared: Any
+) -> None:
     if kind == 'withdrawn':
-        things.pop(key)
+        items.pop(key)
     elif kind == 'changed':
-        things[key] = structs.replace(things[key], **changed_fields(declared))
+        items[key] = structs.replace(items[key], **changed_fields(declared))
     else:
-        things[key] = declared
+        items[key] = declared
 
 
-def _fault(key: str, is_in_force: bool, is_named: bool, kind: str) -> str:
+def _find_fault(key: str, is_in_force: bool, is_named: bool, kind: str) -> str:
     if is_named:
         return f'{key!r} is declared twice in this note'
     if kind in {'added', 'admitted'}:
@@ -155,7 +157,9 @@
     named: set[str] = set()
     for kind in ('withdrawn', 'admitted'):
         for index, worker in enumerate(getattr(note.instances, kind)):
-            fault = _fault(worker, worker in workers, worker in named, kind)
+            fault = _find_fault(
+                worker, worker in workers, worker in named, kind
+            )
             named.add(worker)
             if fault:
                 path = f'$.instances.{kind}[{index}]'
@@ -165,7 +169,9 @@
     return tuple(sorted(workers))
 
 
-def _cross_check(after: Configuration, note: ReleaseNote) -> Iterator[Problem]:
+def _check_consistency(
+    after: Configuration, note: ReleaseNote
+) -> Iterator[Problem]:
     yield from _check_quotas(after, note)
     yield from _check_timeouts(after, note)
     limits = after.limits
@@ -182,17 +188,17 @@
 
 
 def _check_quotas(after: Configuration, note: ReleaseNote) -> Iterator[Problem]:
-    known = {service.name for service in after.services}
+    service_names = {service.name for service in after.services}
     added = {
         quota.identity: f'$.quotas.added[{index}].service'
         for index, quota in enumerate(note.quotas.added)
     }
     for quota in after.quotas:
-        if quota.service in known:
+        if quota.service in service_names:
             continue
-        where = added.get(quota.identity, '$.services.withdrawn')
+        path = added.get(quota.identity, '$.services.withdrawn')
         yield Problem(
-            where,
+            path,
             f'the quota of team {quota.team!r} is for the unknown service '
             f'{quota.service!r}',
         )
--- a/src/marjoramwharf/contracts/heartbeats.py
+++ b/src/marjoramwharf/contracts/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of one entry to the workers that it owns."""
+"""Heartbeats from one entry to the workers that it owns."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
     _worker_id: WorkerId,
     _reply: LeaseReply | None = None,
 ) -> None:
-    """Do nothing; the default of the callbacks."""
+    """Do nothing; the default callback."""
 
 
 class Heartbeats:
     """Fences each owned worker, then extends its lease at intervals.
 
-    ``on_lease`` receives each reply under the own epoch, ``on_superseded``
-    each worker that has acknowledged a higher one, ``on_leaving`` each worker
-    that says for the first time that it is leaving.
+    ``on_lease`` is called with each reply under the ledger's epoch,
+    ``on_superseded`` with each worker that has acknowledged a higher epoch,
+    and ``on_leaving`` once with the ledger of a worker that starts to leave.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         agent_of: Callable[[WorkerId], WorkerAgent],
         now: Callable[[], float],
     ) -> None:
-        """Keep the parts; ``now`` is the present in monotonic seconds."""
+        """Start without heartbeats; ``now`` returns monotonic seconds."""
         self.on_lease: Callable[[WorkerId, LeaseReply], None] = ignore_event
         self.on_superseded: Callable[[WorkerId], None] = ignore_event
         self.on_leaving: Callable[[WorkerLedger], None] | None = None
@@ -51,20 +51,20 @@
         self._now = now
 
     async def run(self, ledger: WorkerLedger) -> None:
-        """Send heartbeats while the ledger is the desk's.
+        """Send heartbeats to a worker while the allocator has its ledger.
 
         The heartbeats of a worker never overlap: a reply must be the newest
-        when the ledger takes it over.
+        when the ledger records it.
         """
         worker_id = ledger.worker.worker_id
         interval_s = self._settings.heartbeat_ms / 1000
         while self._allocator.ledgers.get(worker_id) is ledger:
             due_at = trio.current_time() + interval_s
             with trio.move_on_at(due_at):
-                await self._beat(ledger)
+                await self._send_heartbeat(ledger)
             await trio.sleep_until(due_at)
 
-    async def _beat(self, ledger: WorkerLedger) -> None:
+    async def _send_heartbeat(self, ledger: WorkerLedger) -> None:
         worker_id = ledger.worker.worker_id
         sent_at_s = self._now()
         revoked = tuple(ledger.start_revocations(sent_at_s))
@@ -83,9 +83,9 @@
             )
             return
         if self._allocator.ledgers.get(worker_id) is ledger:
-            self._take_over(ledger, reply, revoked, sent_at_s)
+            self._process_reply(ledger, reply, revoked, sent_at_s)
 
-    def _take_over(
+    def _process_reply(
         self,
         ledger: WorkerLedger,
         reply: LeaseReply,
--- a/src/marjoramwharf/contracts/ledger.py
+++ b/src/marjoramwharf/contracts/ledger.py
@@ -1,8 +1,8 @@
-"""The owner's record of who holds the capacity of one worker.
+"""The owner's ledger of the grants and reservations of one worker.
 
-The ledger does no I/O; the present time in monotonic seconds is an argument.
-Slots of a lost grant become free only after the worker has acknowledged the
-revocation, never when the time of the grant is over.
+The ledger does no I/O; callers pass the present time in monotonic seconds.
+The slots of an expired grant become free only after the worker has
+acknowledged the revocation, never by the expiry alone.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class NoCapacity:
-    """Nothing can be lent at present."""
+    """No grant can be lent or renewed at present."""
 
 
 @dataclass(slots=True)
-class _Lent:
+class _LentGrant:
     borrower: EntryId
     slots_count: int
     expires_at_s: float
@@ -45,7 +45,7 @@
 
 
 class WorkerLedger:
-    """Slots, sessions, grants and reservations of one worker.
+    """Tracks the slots, sessions, grants and reservations of one worker.
 
     Nothing is lent before the worker has acknowledged the epoch.
     """
@@ -58,7 +58,7 @@
         grant_ttl_s: float,
         connections_per_session: int,
     ) -> None:
-        """Start with the worker's state unknown."""
+        """Start unfenced, with the state of the worker unknown."""
         self.worker = worker
         self.epoch = epoch
         self.reservations = Reservations(worker.capacity)
@@ -67,31 +67,31 @@
         self.reported_at_s: float = 0
         self._expiry_s: float = 0
         self._grant_ttl_s = grant_ttl_s
-        self._session_size = connections_per_session
-        self._counter = itertools.count(1)
-        self._lent: dict[GrantId, _Lent] = {}
+        self._connections_per_session = connections_per_session
+        self._grant_numbers = itertools.count(1)
+        self._grants: dict[GrantId, _LentGrant] = {}
         self._sessions: dict[EntryId, _Session] = {}
-        self._old_calls_count = 0
+        self._orphaned_calls_count = 0
 
     @property
     def free_slots_count(self) -> int:
-        """Slots that may be lent now; 0 while the worker is unknown."""
+        """Slots that may be lent now; 0 before the fence or when leaving."""
         if self.leaving or not self.fenced:
             return 0
-        lent = sum(held.slots_count for held in self._lent.values())
+        lent_count = sum(held.slots_count for held in self._grants.values())
         total = self.worker.capacity.slots_count
-        return max(0, total - lent - self._old_calls_count)
+        return max(0, total - lent_count - self._orphaned_calls_count)
 
     @property
     def lent_grants_count(self) -> int:
-        """Grants that are lent, revocations included."""
-        return len(self._lent)
+        """Number of lent grants, including those being revoked."""
+        return len(self._grants)
 
     def accepts_work(self, now_s: float) -> bool:
         """Tell whether the worker may get new work.
 
-        A worker that was not heard from within the time of a grant may be
-        leaving, so it gets none.
+        A worker whose last heartbeat reply is older than the lifetime of a
+        grant may be leaving, so it gets none.
         """
         if self.leaving or not self.fenced:
             return False
@@ -104,11 +104,14 @@
         return max(0, self.worker.capacity.connections_count - used)
 
     def record_fence(self, reply: LeaseReply, sent_at_s: float) -> None:
-        """Count everything that runs at the worker as held, then lend."""
+        """Record that the worker acknowledged the epoch; allow lending.
+
+        All connections and calls that the worker reports count as used.
+        """
         for entry, count in reply.connections:
             if count:
-                held_count = max(count, self._session_size)
-                self._sessions[entry] = _Session(None, held_count)
+                connections_count = max(count, self._connections_per_session)
+                self._sessions[entry] = _Session(None, connections_count)
         self.fenced = True
         self.record_report(reply, sent_at_s)
 
@@ -119,39 +122,41 @@
         *,
         incarnation: Incarnation,
     ) -> Grant | NoCapacity:
-        """Lend up to ``slots_count`` slots, and a session with the first.
+        """Lend up to ``slots_count`` slots; open a session if there is none.
 
-        A restarted borrower gets nothing before the grants and connections
-        of its predecessor are gone.
+        A restarted borrower gets nothing until the grants and connections of
+        its predecessor have ended.
         """
         free = min(slots_count, self.free_slots_count)
         if free <= 0 or not self._open_session(borrower, incarnation):
             return NoCapacity()
-        # One connection of a session is kept for cancellations and
-        # heartbeats, so more slots than the others could not be used.
-        usable = self._session_size - 1 - self._lent_to(borrower)
+        # One connection of a session is reserved for cancellations and
+        # heartbeats; each slot needs one of the others.
+        usable = (
+            self._connections_per_session - 1 - self._slots_lent_to(borrower)
+        )
         slots = min(free, usable)
         if slots <= 0:
             return NoCapacity()
-        number = next(self._counter)
+        number = next(self._grant_numbers)
         worker_id = self.worker.worker_id
         grant_id = GrantId(f'{self.epoch}-{number}{_ID_SEPARATOR}{worker_id}')
-        self._lent[grant_id] = _Lent(borrower, slots, self._expiry_s)
-        return self._grant(grant_id)
+        self._grants[grant_id] = _LentGrant(borrower, slots, self._expiry_s)
+        return self._make_grant(grant_id)
 
     def renew(
         self,
         borrower: EntryId,
         grant_id: GrantId,
     ) -> Grant | NoCapacity:
-        """Extend a grant unless its revocation has begun."""
-        held = self._lent.get(grant_id)
+        """Extend a grant unless its revocation has started."""
+        held = self._grants.get(grant_id)
         if held is None or held.borrower != borrower:
             return NoCapacity()
         if held.revoking or self.leaving:
             return NoCapacity()
         held.expires_at_s = self._expiry_s
-        return self._grant(grant_id)
+        return self._make_grant(grant_id)
 
     def give_back(
         self,
@@ -159,24 +164,24 @@
         grant_id: GrantId,
         slots_count: int,
     ) -> None:
-        """Free slots that the borrower has removed from its wallet.
+        """Free slots that the borrower has removed from its permit pool.
 
-        A return that meets a revocation is left to the revocation.
+        During a revocation it does nothing: the revocation frees the slots.
         """
-        held = self._lent.get(grant_id)
+        held = self._grants.get(grant_id)
         if held is None or held.borrower != borrower or held.revoking:
             return
         held.slots_count -= max(0, slots_count)
         if held.slots_count <= 0:
-            self._lent.pop(grant_id)
+            self._grants.pop(grant_id)
 
     def start_revocations(self, now_s: float) -> list[GrantId]:
-        """Begin the revocation of expired grants; return all that are due.
+        """Start the revocation of expired grants; return all being revoked.
 
-        A grant stays due until the worker has acknowledged its revocation.
+        A grant is returned until the worker has acknowledged its revocation.
         """
         due = []
-        for grant_id, held in self._lent.items():
+        for grant_id, held in self._grants.items():
             if self.leaving or held.expires_at_s <= now_s:
                 held.revoking = True
             if held.revoking:
@@ -184,14 +189,14 @@
         return due
 
     def revoke_borrower(self, borrower: EntryId) -> None:
-        """Begin the revocation of all grants of one borrower."""
-        for held in self._lent.values():
+        """Start the revocation of all grants of one borrower."""
+        for held in self._grants.values():
             held.revoking = held.revoking or held.borrower == borrower
 
     def grants_by_borrower(self) -> dict[EntryId, list[GrantId]]:
-        """Return the grants of each borrower, revocations included."""
+        """Return the grants of each borrower, including those being revoked."""
         found: dict[EntryId, list[GrantId]] = {}
-        for grant_id, held in self._lent.items():
+        for grant_id, held in self._grants.items():
             found.setdefault(held.borrower, []).append(grant_id)
         return found
 
@@ -200,41 +205,41 @@
         grant_ids: Iterable[GrantId],
         running: Iterable[RunningCall],
     ) -> None:
-        """Free revoked grants, but for the calls that still run."""
+        """Free the slots of revoked grants, except for calls still running."""
         for grant_id in grant_ids:
-            held = self._lent.get(grant_id)
+            held = self._grants.get(grant_id)
             if held is not None and held.revoking:
-                self._lent.pop(grant_id)
-        self._count_old(running)
+                self._grants.pop(grant_id)
+        self._count_orphaned_calls(running)
 
     def record_report(self, reply: LeaseReply, sent_at_s: float) -> None:
-        """Take over what a heartbeat reply says of calls and tasks.
+        """Record the calls, tasks and connections of a heartbeat reply.
 
         ``sent_at_s`` is the time when the heartbeat was sent.
         """
         self.leaving = self.leaving or reply.leaving
         self.reported_at_s = sent_at_s
-        # Counted from the worker's last report, so that no grant is valid
-        # when the worker may have been leaving for longer than that time.
+        # Counted from the worker's last report, so that no grant is valid for
+        # longer than its lifetime after the worker may have begun to leave.
         self._expiry_s = sent_at_s + self._grant_ttl_s
-        self._count_old(reply.running)
+        self._count_orphaned_calls(reply.running)
         self.reservations.record_reports(reply.tasks, sent_at_s)
         counts = dict(reply.connections)
-        lenders = self.grants_by_borrower()
+        borrowers = self.grants_by_borrower()
         for entry in tuple(self._sessions):
-            if entry not in lenders and not counts.get(entry):
+            if entry not in borrowers and not counts.get(entry):
                 self._sessions.pop(entry)
 
-    def _lent_to(self, borrower: EntryId) -> int:
+    def _slots_lent_to(self, borrower: EntryId) -> int:
         return sum(
             held.slots_count
-            for held in self._lent.values()
+            for held in self._grants.values()
             if held.borrower == borrower
         )
 
-    def _count_old(self, running: Iterable[RunningCall]) -> None:
-        self._old_calls_count = sum(
-            call.grant_id not in self._lent for call in running
+    def _count_orphaned_calls(self, running: Iterable[RunningCall]) -> None:
+        self._orphaned_calls_count = sum(
+            call.grant_id not in self._grants for call in running
         )
 
     def _open_session(
@@ -244,26 +249,27 @@
     ) -> bool:
         session = self._sessions.get(borrower)
         if session is None:
-            if self.free_connections_count < self._session_size:
+            if self.free_connections_count < self._connections_per_session:
                 return False
             self._sessions[borrower] = _Session(
                 incarnation,
-                self._session_size,
+                self._connections_per_session,
             )
             return True
         if (
             session.incarnation is None
             and borrower not in self.grants_by_borrower()
         ):
-            # The first borrower seen after a takeover keeps its connections.
+            # After a takeover of the worker, the first incarnation that
+            # borrows keeps the connections counted for the borrower.
             session.incarnation = incarnation
         if session.incarnation != incarnation:
             self.revoke_borrower(borrower)
             return False
         return True
 
-    def _grant(self, grant_id: GrantId) -> Grant:
-        held = self._lent[grant_id]
+    def _make_grant(self, grant_id: GrantId) -> Grant:
+        held = self._grants[grant_id]
         session = self._sessions[held.borrower]
         return Grant(
             grant_id=grant_id,
--- a/src/marjoramwharf/contracts/lending.py
+++ b/src/marjoramwharf/contracts/lending.py
@@ -1,4 +1,4 @@
-"""The tasks of one entry that own, lend and borrow worker capacity."""
+"""Management of the worker capacity that an entry owns, lends and borrows."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 from marjoramwharf.machines.worker import Worker, WorkerState
 from marjoramwharf.settings import CapacitySettings
 
-# After a supply that brought nothing, peers are left alone for this long.
-_SUPPLY_PAUSE_S = 0.05
-_MAX_SUPPLY_PAUSE_S = 0.4
+# Backoff after a refill that brought no grant; it doubles with each failure.
+_REFILL_BACKOFF_S = 0.05
+_MAX_REFILL_BACKOFF_S = 0.4
 
-# Permits that nobody needed for this long go back to their owners, so that
-# another entry's burst finds them with one message.
-_SURPLUS_S = 0.2
-_RESERVE_COUNT = 2
+# Permits that were not needed for this long go back to their owners, so that
+# an entry with a burst of requests gets them with one message.
+_SURPLUS_INTERVAL_S = 0.2
+_MIN_FREE_PERMITS_COUNT = 2
 
 
 def assign_workers(
@@ -49,25 +49,25 @@
 ) -> frozenset[ShardId]:
     """Own the listed workers of the owned shards and disown the others.
 
-    A worker that is missing from the lagging list is kept while it answers
-    heartbeats. Returns the shards that must advance to a new epoch, since a
-    worker of theirs came back after it was disowned.
+    The list lags, so a worker that is missing from it is kept while it
+    answers heartbeats. Returns the shards that must advance to a new epoch,
+    since one of their workers came back after it was disowned.
     """
-    _disown_lost(capacity_manager, listed, owned, settings, now_s)
-    waiting = set()
+    _disown_missing(capacity_manager, listed, owned, settings, now_s)
+    outdated_shards = set()
     for worker_id, worker in listed.items():
         shard = shard_of(worker_id, settings.shard_count)
         epoch = owned.get(shard)
         if epoch is not None:
             capacity_manager.own(worker, epoch)
             if worker_id not in capacity_manager.allocator.ledgers:
-                waiting.add(shard)
+                outdated_shards.add(shard)
         if worker.state is WorkerState.LEAVING:
             capacity_manager.mark_leaving(worker_id)
-    return frozenset(waiting)
+    return frozenset(outdated_shards)
 
 
-def _disown_lost(
+def _disown_missing(
     capacity_manager: CapacityManager,
     listed: Collection[WorkerId],
     owned: Collection[ShardId],
@@ -82,18 +82,18 @@
             capacity_manager.disown(worker_id)
 
 
-def _ignore_supply(_service: ServiceId) -> None:
-    """Do nothing; the default where nobody waits for permits."""
+def _ignore_refill(_service: ServiceId) -> None:
+    """Do nothing; the default callback for ended refills."""
 
 
 class CapacityManager:
-    """Ledgers of the owned workers and the wallet of one entry.
+    """Manages the ledgers of the owned workers and the entry's permit pool.
 
-    ``agent_of`` returns the agent of a worker, ``now`` the present in
-    monotonic seconds. Set ``heartbeats.on_lease`` and
+    ``agent_of`` returns the client of a worker's agent, ``now`` the present
+    time in monotonic seconds. Set ``heartbeats.on_lease`` and
     ``heartbeats.on_superseded`` to follow the replies of the workers, and
     ``borrower.close_connections`` to close idle connections to a worker.
-    ``run`` must run before a worker is owned.
+    ``run`` must be running before a worker is owned.
     """
 
     def __init__(
@@ -114,15 +114,15 @@
         self._identity = identity
         self._settings = settings
         self.heartbeats = Heartbeats(allocator, settings, agent_of, now)
-        self.heartbeats.on_leaving = self._tell_leaving
+        self.heartbeats.on_leaving = self._notify_borrowers
         self._peers = peers
         self._rng = rng
         self._now = now
         self._nursery: trio.Nursery | None = None
         self._last_epochs: dict[WorkerId, Epoch] = {}
-        self._supplies: dict[ServiceId, trio.Event] = {}
-        self._supply_pause_s = _SUPPLY_PAUSE_S
-        self.on_refilled: Callable[[ServiceId], None] = _ignore_supply
+        self._refills: dict[ServiceId, trio.Event] = {}
+        self._refill_backoff_s = _REFILL_BACKOFF_S
+        self.on_refilled: Callable[[ServiceId], None] = _ignore_refill
         self.borrower = Borrower(
             identity,
             permit_pool,
@@ -136,20 +136,21 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Heartbeat the owned workers and keep the grants until cancelled."""
+        """Send heartbeats and summaries and renew grants until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            nursery.start_soon(self._keep_grants)
-            nursery.start_soon(self._summarise)
-            nursery.start_soon(self._return_surplus)
+            nursery.start_soon(self._renew_grants_forever)
+            nursery.start_soon(self._send_summaries_forever)
+            nursery.start_soon(self._return_surplus_forever)
             task_status.started()
 
     def own(self, worker: Worker, epoch: Epoch) -> None:
-        """Begin to own a worker; nothing is lent before it is fenced.
+        """Start to own a worker; nothing is lent before it is fenced.
 
-        An epoch serves one ledger only: a second one would give out the same
-        grant ids again and forget what the first has lent. A worker that was
-        disowned therefore needs a higher epoch.
+        An epoch serves one ledger only: a second ledger would issue the same
+        grant ids again and not know what the first has lent. A worker that
+        was disowned therefore needs a higher epoch; a lower or equal one is
+        ignored.
         """
         former_epoch = self._last_epochs.get(worker.worker_id, Epoch(0))
         if self._nursery is None or former_epoch >= epoch:
@@ -165,19 +166,23 @@
         self._nursery.start_soon(self.heartbeats.run, ledger)
 
     def disown(self, worker_id: WorkerId) -> None:
-        """Stop owning a worker; its heartbeats and loans end."""
+        """Stop owning a worker; its heartbeats and grants end."""
         self.allocator.ledgers.pop(worker_id, None)
 
     def mark_leaving(self, worker_id: WorkerId) -> None:
-        """Stop the use of a worker that is leaving, and tell the borrowers."""
+        """Stop using a worker that is leaving, and notify its borrowers."""
         self.borrower.drop_worker(worker_id)
         ledger = self.allocator.ledgers.get(worker_id)
         if ledger is not None and not ledger.leaving:
             ledger.leaving = True
-            self._tell_leaving(ledger)
+            self._notify_borrowers(ledger)
 
     def refused(self, permit: Permit, refusal: WorkerRefusal) -> None:
-        """Take over what a worker's refusal says of a permit's grant."""
+        """Put back a refused permit and apply the reason of the refusal.
+
+        The worker's grants are dropped if it is leaving, the permit's grant
+        if its epoch is stale or it was revoked.
+        """
         self.permit_pool.put_back(permit, self._now())
         if refusal is WorkerRefusal.LEAVING:
             self.mark_leaving(permit.worker_id)
@@ -193,27 +198,27 @@
         excluded: Collection[WorkerId],
         now_s: float,
     ) -> Permit | None:
-        """Return a permit of a worker that runs the service.
+        """Take a permit of a worker that runs the service.
 
-        It comes from the wallet, else from the own ledgers, else from peers.
-        ``None`` means that nothing was free now; the caller decides whether
-        to wait and ask again.
+        It comes from the permit pool, else from the own ledgers, else from
+        peers. ``None`` means that nothing was free; the caller decides
+        whether to wait and ask again.
         """
-        permit = self._choose(service, excluded, now_s)
+        permit = self._take_permit(service, excluded, now_s)
         if permit is None:
             self.borrower.borrow_locally(service, excluded, now_s)
-            permit = self._choose(service, excluded, now_s)
+            permit = self._take_permit(service, excluded, now_s)
         if permit is not None:
             # The last free permit was taken: borrow before a request waits.
-            # A higher mark would let one caller collect all free slots.
+            # A higher threshold would let one caller collect all free slots.
             if not self.permit_pool.available_workers.count(service):
-                self._start_supply(service)
+                self._start_refill(service)
             return permit
-        supply = self._start_supply(service)
-        if supply is None:
+        refill_done = self._start_refill(service)
+        if refill_done is None:
             return None
-        await supply.wait()
-        return self._choose(service, excluded, self._now())
+        await refill_done.wait()
+        return self._take_permit(service, excluded, self._now())
 
     def refill(
         self,
@@ -221,42 +226,41 @@
         excluded: Collection[WorkerId],
         now_s: float,
     ) -> bool:
-        """Fill the wallet from the own ledgers, or start to borrow.
+        """Refill the permit pool from the own ledgers, or start to borrow.
 
-        Returns whether the wallet has a free permit of another worker than
-        the excluded ones now. ``on_refilled`` is called when the borrowing
-        has ended.
+        Returns whether the pool now has a free permit of a worker that is
+        not excluded. ``on_refilled`` is called when the borrowing has ended.
         """
         self.borrower.borrow_locally(service, excluded, now_s)
-        found = self.permit_pool.candidates(service, now_s, rng=self._rng)
-        if any(worker_id not in excluded for worker_id in found):
+        candidates = self.permit_pool.candidates(service, now_s, rng=self._rng)
+        if any(worker_id not in excluded for worker_id in candidates):
             return True
-        self._start_supply(service)
+        self._start_refill(service)
         return False
 
     def borrow_ahead(self, service: ServiceId, now_s: float) -> None:
-        """Borrow ahead when the last free permits are being taken."""
-        if self.permit_pool.free_count >= _RESERVE_COUNT:
+        """Borrow ahead of demand while few free permits are left."""
+        if self.permit_pool.free_count >= _MIN_FREE_PERMITS_COUNT:
             return
         self.borrower.borrow_locally(service, (), now_s)
-        if self.permit_pool.free_count < _RESERVE_COUNT:
-            self._start_supply(service)
+        if self.permit_pool.free_count < _MIN_FREE_PERMITS_COUNT:
+            self._start_refill(service)
 
     async def stop(self) -> None:
-        """Return all free permits and tell the peers of a planned stop."""
+        """Return all free permits and announce a planned stop to the peers."""
         await self.borrower.return_idle(idle_after_s=0)
         leaving = ttypes.Leaving(entry_id=self._identity.entry_id)
-        await self._tell_all(leaving)
+        await self._broadcast(leaving)
 
     def handlers(self) -> dict[type, Handler]:
-        """Return the lending part of the table for the peer server."""
+        """Return the handlers of the capacity messages for the peer server."""
         return CapacityHandlers(
             self.allocator,
             self.borrower,
             now=self._now,
         ).handlers()
 
-    def _choose(
+    def _take_permit(
         self,
         service: ServiceId,
         excluded: Collection[WorkerId],
@@ -269,32 +273,34 @@
             excluded=excluded,
         )
 
-    def _start_supply(self, service: ServiceId) -> trio.Event | None:
-        """Borrow in the background, once at a time for each service."""
+    def _start_refill(self, service: ServiceId) -> trio.Event | None:
+        """Borrow in the background; one refill at a time for each service."""
         if self._nursery is None:
             return None
-        supply = self._supplies.get(service)
-        if supply is None:
-            supply = trio.Event()
-            self._supplies[service] = supply
-            self._nursery.start_soon(self._supply, service, supply)
-        return supply
-
-    async def _supply(self, service: ServiceId, supply: trio.Event) -> None:
+        refill_done = self._refills.get(service)
+        if refill_done is None:
+            refill_done = trio.Event()
+            self._refills[service] = refill_done
+            self._nursery.start_soon(self._refill_once, service, refill_done)
+        return refill_done
+
+    async def _refill_once(
+        self, service: ServiceId, refill_done: trio.Event
+    ) -> None:
         self.borrower.borrow_locally(service, (), self._now())
         has_borrowed = await self.borrower.borrow(service)
-        supply.set()
+        refill_done.set()
         self.on_refilled(service)
         if has_borrowed:
-            self._supply_pause_s = _SUPPLY_PAUSE_S
+            self._refill_backoff_s = _REFILL_BACKOFF_S
         else:
-            await trio.sleep(self._supply_pause_s)
-            longer_s = 2 * self._supply_pause_s
-            self._supply_pause_s = min(longer_s, _MAX_SUPPLY_PAUSE_S)
-        self._supplies.pop(service)
+            await trio.sleep(self._refill_backoff_s)
+            doubled_s = 2 * self._refill_backoff_s
+            self._refill_backoff_s = min(doubled_s, _MAX_REFILL_BACKOFF_S)
+        self._refills.pop(service)
 
-    async def _keep_grants(self) -> None:
-        """Renew the used grants and return the idle ones."""
+    async def _renew_grants_forever(self) -> None:
+        """Renew the grants in use and return the idle ones."""
         while True:
             due_at = trio.current_time() + self._settings.heartbeat_ms / 1000
             await self.borrower.return_idle(
@@ -303,22 +309,24 @@
             await self.borrower.renew()
             await trio.sleep_until(due_at)
 
-    async def _return_surplus(self) -> None:
-        """Return what was not needed since the last turn."""
+    async def _return_surplus_forever(self) -> None:
+        """Return the permits that were not needed since the last interval."""
         while True:
-            await trio.sleep(_SURPLUS_S)
-            await self.borrower.return_surplus(min_free_count=_RESERVE_COUNT)
+            await trio.sleep(_SURPLUS_INTERVAL_S)
+            await self.borrower.return_surplus(
+                min_free_count=_MIN_FREE_PERMITS_COUNT
+            )
 
-    async def _summarise(self) -> None:
-        """Show the free slots of the owned workers to all peers."""
+    async def _send_summaries_forever(self) -> None:
+        """Send the free slots of the owned workers to all peers."""
         while True:
             due_at = trio.current_time() + self._settings.heartbeat_ms / 1000
-            await self._tell_all(
+            await self._broadcast(
                 summary_message(self._identity, self.allocator),
             )
             await trio.sleep_until(due_at)
 
-    def _tell_leaving(self, ledger: WorkerLedger) -> None:
+    def _notify_borrowers(self, ledger: WorkerLedger) -> None:
         self.borrower.drop_worker(ledger.worker.worker_id)
         peers = self._peers()
         for entry_id, grant_ids in ledger.grants_by_borrower().items():
@@ -330,7 +338,7 @@
                 )
                 self._nursery.start_soon(call_peer, peer, revoke)
 
-    async def _tell_all(self, message: Message) -> None:
+    async def _broadcast(self, message: Message) -> None:
         async with trio.open_nursery() as nursery:
             for peer in self._peers().values():
                 nursery.start_soon(call_peer, peer, message)
--- a/src/marjoramwharf/contracts/note_answers.py
+++ b/src/marjoramwharf/contracts/note_answers.py
@@ -1,7 +1,7 @@
 """The answers to a submitted release note.
 
-``NotRun`` and ``Unknown`` are the outcomes of the request path: the note is
-proved not to be accepted, or that is not known.
+``NotRun`` and ``Unknown`` come from the request path: the note was certainly
+not accepted, or it is not known whether it was.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoteConflict:
-    """Another note, accepted after the base, touches the same fields."""
+    """Another note, accepted after the base, sets the same fields."""
 
     note_id: str
     author: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoteRefused:
-    """The note doesn't fit the configuration in force, or its base is bad."""
+    """The note doesn't fit the configuration, or its base is not usable."""
 
     reason: Reason
     message: str
--- a/src/marjoramwharf/contracts/note_api.py
+++ b/src/marjoramwharf/contracts/note_api.py
@@ -37,7 +37,8 @@
 
 TokenCheck: TypeAlias = Callable[[str | None], bool]
 
-# A note that admits every worker of the two-year target has about 150 KB.
+# Largest accepted body. A note that admits every worker of the two-year target
+# has about 150 KB.
 MAX_NOTE_BYTES = 524_288
 
 DEFAULT_HISTORY_COUNT = 20
@@ -50,7 +51,7 @@
 
 
 def bearer_check(token: str) -> TokenCheck:
-    """Return a check of the ``Authorization`` header, in constant time."""
+    """Return a check of the ``Authorization`` header in constant time."""
     return functools.partial(_is_bearer, f'Bearer {token}'.encode())
 
 
@@ -87,13 +88,13 @@
 
 def current_body(registry: NoteRegistry) -> dict[str, Any]:
     """Return the configuration in force on this entry, and since when."""
-    now = registry.current
+    active = registry.current
     return {
         'entry': registry.entry,
-        'revision': now.revision,
-        'since_ms': now.since_ms,
+        'revision': active.revision,
+        'since_ms': active.since_ms,
         'is_synchronised': registry.is_synchronised,
-        'configuration': now.configuration,
+        'configuration': active.configuration,
     }
 
 
@@ -108,7 +109,7 @@
     try:
         found = await registry.history(limit=int(limit))
     except (StoreUnavailable, StoreBudgetSpent) as failure:
-        return _storeerror_response(failure)
+        return _store_failure_response(failure)
     return json_response(HTTPStatus.OK, {'notes': found})
 
 
@@ -132,7 +133,7 @@
 
 
 def answer_response(note: ReleaseNote, answer: Answer) -> Response:
-    """Return the response to a submitted note."""
+    """Return the HTTP response for the answer to a submitted note."""
     if isinstance(answer, Accepted):
         return json_response(
             HTTPStatus.OK,
@@ -144,7 +145,7 @@
             },
         )
     if isinstance(answer, NoteConflict):
-        return _conflict(answer)
+        return _conflict_response(answer)
     if isinstance(answer, NoteRefused):
         return error_response(
             _REFUSED_STATUS.get(answer.reason, HTTPStatus.CONFLICT),
@@ -152,10 +153,10 @@
             answer.message,
             details={'problems': answer.problems},
         )
-    return _not_settled(answer)
+    return _unsettled_response(answer)
 
 
-def _not_settled(answer: NotRun | Unknown) -> Response:
+def _unsettled_response(answer: NotRun | Unknown) -> Response:
     if isinstance(answer, Unknown):
         return error_response(
             HTTPStatus.ACCEPTED,
@@ -171,7 +172,7 @@
     )
 
 
-def _conflict(answer: NoteConflict) -> Response:
+def _conflict_response(answer: NoteConflict) -> Response:
     return error_response(
         HTTPStatus.CONFLICT,
         Reason.NOTE_CONFLICT,
@@ -187,7 +188,7 @@
     )
 
 
-def _storeerror_response(failure: Failure) -> Response:
+def _store_failure_response(failure: Failure) -> Response:
     return error_response(
         HTTPStatus.SERVICE_UNAVAILABLE,
         failure.reason,
--- a/src/marjoramwharf/contracts/note_registry.py
+++ b/src/marjoramwharf/contracts/note_registry.py
@@ -1,8 +1,8 @@
 """Acceptance of release notes and the configuration in force on an entry.
 
-The keeper of each entry follows the head of the notes in the store. The
-revision in force only grows: an older head, from a stale read or a watch that
-restarted, is ignored. Acceptance is a compare-and-swap on the head.
+The registry of each entry follows the head record of the notes in the store.
+The revision in force only grows: an older head, from a stale read or a watch
+that restarted, is ignored. Acceptance is a compare-and-swap on the head.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
 
 HistoryEntry: TypeAlias = records.HistoryEntry
 
-# Interval at which the next note is looked for, since a watch may be cut
-# without an error. A note must be in force within 11 s.
-_CHECK_S = 4
+# Interval at which the registry polls for the next note, since a watch may
+# stop without an error. A note must be in force within 11 s.
+_POLL_INTERVAL_S = 4
 
 _WATCH_BACKOFF_S = 0.5
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveConfiguration:
-    """A configuration and since when (Unix time) this entry has it."""
+    """The configuration in force on this entry, and since when (Unix time)."""
 
     configuration: Configuration
     since_ms: int
@@ -55,7 +55,7 @@
 
 
 class NoteRegistry:
-    """Keeps the configuration in force on one entry.
+    """Accepts release notes and tracks the configuration of one entry.
 
     ``now_ms`` returns Unix time, ``jitter`` a number from 0 to 1. ``run``
     follows the store until it is cancelled.
@@ -77,9 +77,9 @@
         self._now_ms = now_ms
         self._jitter = jitter
         self._listeners: list[Listener] = []
-        self._floor = 0
-        self._hinted = trio.Event()
-        self._acceptance = NoteAcceptor(
+        self._min_revision = 0
+        self._hint_received = trio.Event()
+        self._acceptor = NoteAcceptor(
             store,
             entry=entry,
             now_ms=now_ms,
@@ -89,21 +89,25 @@
         )
 
     def add_listener(self, listener: Listener) -> None:
-        """Call a function after each change of the configuration."""
+        """Add a function that is called after each configuration change."""
         self._listeners.append(listener)
 
     def hint(self, revision: int) -> None:
-        """Take note of a revision that a peer has in force.
+        """Record a revision that a peer has in force.
 
-        The head is read again at once. Older heads are ignored, which keeps
-        a restarted entry from going back after a stale read.
+        A newer one makes ``run`` read the head again at once. Older heads are
+        ignored from then on, so that a stale read can't revert a restarted
+        entry.
         """
         if revision > self._known_revision():
-            self._floor = revision
-            self._hinted.set()
+            self._min_revision = revision
+            self._hint_received.set()
 
     def observe(self, configuration: Configuration, *, now_ms: int) -> bool:
-        """Put a configuration in force unless it is older or the same."""
+        """Put a configuration in force unless it is older or the same.
+
+        Returns whether it was put in force.
+        """
         if configuration.revision < self._known_revision():
             return False
         self.is_synchronised = True
@@ -112,7 +116,7 @@
         self.current = ActiveConfiguration(configuration, now_ms)
         _log.info('note in force', revision=configuration.revision)
         for listener in self._listeners:
-            self._call(listener)
+            self._notify(listener)
         return True
 
     async def run(
@@ -120,15 +124,15 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Follow the head; reports started after the first attempt."""
+        """Follow the head; report ``started`` after the first read attempt."""
         async with trio.open_nursery() as nursery:
-            await self._reread()
+            await self._read_head()
             task_status.started()
-            nursery.start_soon(self._check_forever)
+            nursery.start_soon(self._poll_forever)
             nursery.start_soon(self._watch_forever)
 
     async def history(self, *, limit: int) -> tuple[HistoryEntry, ...]:
-        """Return the latest notes, the newest first.
+        """Return up to ``limit`` accepted notes, the newest first.
 
         Raises ``StoreUnavailable`` or ``StoreBudgetSpent``.
         """
@@ -152,7 +156,7 @@
         *,
         based_on: int | None = None,
     ) -> Answer:
-        """Accept a note, or say why it is not accepted.
+        """Accept a note, or return why it is not accepted.
 
         A note that touches other fields than the notes accepted since its
         base is rebased. Without ``based_on`` and a base in the note, the
@@ -161,26 +165,29 @@
         if based_on is None:
             based_on = note.based_on
         if not self.is_synchronised:
-            await self._reread()
+            await self._read_head()
         if based_on is None and not self.is_synchronised:
-            return not_accepted(note, 'the head was not read yet')
+            return not_accepted(
+                note,
+                'the head record of the release notes was not read yet',
+            )
         if based_on is None:
             based_on = self.current.revision
-        return await self._acceptance.accept(note, based_on)
+        return await self._acceptor.accept(note, based_on)
 
-    async def _check_forever(self) -> None:
+    async def _poll_forever(self) -> None:
         while True:
-            with trio.move_on_after(_CHECK_S):
-                await self._hinted.wait()
-            self._hinted = trio.Event()
-            if await self._may_have_moved():
-                await self._reread()
-
-    async def _may_have_moved(self) -> bool:
-        # At the target the head has 195 KB, so the next note is looked for
-        # instead of reading the head each time.
+            with trio.move_on_after(_POLL_INTERVAL_S):
+                await self._hint_received.wait()
+            self._hint_received = trio.Event()
+            if await self._may_have_changed():
+                await self._read_head()
+
+    async def _may_have_changed(self) -> bool:
+        # At the target load the head has 195 KB, so only the next note is
+        # read instead of the head.
         current = self.current.revision
-        if not self.is_synchronised or self._floor > current:
+        if not self.is_synchronised or self._min_revision > current:
             return True
         try:
             following = await records.read_entry(
@@ -189,15 +196,15 @@
                 urgency=Urgency.JOB,
             )
         except STORE_FAILURES as failure:
-            _log.warning('next note not read', cause=failure.message)
+            _log.warning('reading the next note failed', cause=failure.message)
             return False
         return following is not None
 
-    async def _reread(self) -> None:
+    async def _read_head(self) -> None:
         try:
             head = await records.read_head(self._store)
         except STORE_FAILURES as failure:
-            _log.warning('head not read', cause=failure.message)
+            _log.warning('reading the head failed', cause=failure.message)
         else:
             self._observe_now(head.configuration)
 
@@ -206,7 +213,7 @@
             try:
                 await self._watch()
             except STORE_FAILURES as failure:
-                _log.warning('watch cut', cause=failure.message)
+                _log.warning('watch on the head ended', cause=failure.message)
             await trio.sleep(_WATCH_BACKOFF_S * (1 + self._jitter()))
 
     async def _watch(self) -> None:
@@ -215,7 +222,7 @@
             urgency=Urgency.OWNERSHIP,
         )
         for found in reading.found:
-            self._take(found)
+            self._observe_stored(found)
         watch = self._store.watch(
             records.HEAD_KEY,
             from_revision=reading.revision,
@@ -223,11 +230,11 @@
         async with watch as batches:
             async for batch in batches:
                 for event in batch.events:
-                    self._take(event.stored)
+                    self._observe_stored(event.stored)
 
-    def _take(self, stored: StoredValue | None) -> None:
-        # A deleted head is an operating error of the store; what is in force
-        # stays.
+    def _observe_stored(self, stored: StoredValue | None) -> None:
+        # The head is only deleted by an operating error of the store; the
+        # configuration in force stays.
         if stored is not None and stored.key == records.HEAD_KEY:
             configuration = records.decode(stored, Configuration)
             self._observe_now(configuration)
@@ -236,10 +243,13 @@
         return self.observe(configuration, now_ms=self._now_ms())
 
     def _known_revision(self) -> int:
-        return max(self._floor, self.current.revision)
+        return max(self._min_revision, self.current.revision)
 
-    def _call(self, listener: Listener) -> None:
+    def _notify(self, listener: Listener) -> None:
         try:
             listener(self.current)
         except Exception:
-            _log.exception('listener failed', revision=self.current.revision)
+            _log.exception(
+                'configuration listener failed',
+                revision=self.current.revision,
+            )
--- a/src/marjoramwharf/contracts/ownership.py
+++ b/src/marjoramwharf/contracts/ownership.py
@@ -1,9 +1,9 @@
 """Ownership of shards by compare-and-swap on records in the store.
 
 The record ``<prefix>/<shard>`` names the owner, its incarnation and an epoch
-that only grows. A record is taken when its owner has no member record. The
-module serves capacity shards (``/own/capacity``) and job shards
-(``/own/jobs``) alike.
+that only grows. A shard may be taken when its owner has no member record. The
+module serves both capacity shards (``/own/capacity``) and job shards
+(``/own/jobs``).
 """
 
 from __future__ import annotations
@@ -43,7 +43,8 @@
     """The body of an ownership record.
 
     An empty ``owner`` means that the shard was handed over. ``nonce`` is
-    fresh for each write and settles a write whose answer was lost.
+    fresh for each write, so that a writer recognises its own record after
+    the store's answer was lost.
     """
 
     owner: EntryId
@@ -70,10 +71,10 @@
 
 
 class Ownership:
-    """The shards below one prefix that this process owns.
+    """Acquires and tracks this process's shards below one prefix.
 
     ``members`` returns the live entries with their incarnations; it must come
-    from a current reading of the members, since a record whose owner is
+    from a current reading of the members, since a shard whose owner is
     missing there is taken. ``candidates`` returns the entries that may own
     shards, by default all members.
     """
@@ -102,26 +103,26 @@
         self._records: dict[ShardId, tuple[OwnerRecord, int]] = {}
 
     def owner_of(self, shard: ShardId) -> OwnerRecord | None:
-        """Return the last known record of a shard."""
-        known = self._records.get(shard)
-        return None if known is None else known[0]
+        """Return the cached record of a shard, if there is one."""
+        cached = self._records.get(shard)
+        return None if cached is None else cached[0]
 
     def records(self) -> Mapping[ShardId, OwnerRecord]:
-        """Return the last known records."""
-        return {shard: known[0] for shard, known in self._records.items()}
+        """Return the cached records of all shards."""
+        return {shard: cached[0] for shard, cached in self._records.items()}
 
     def revision_of(self, shard: ShardId) -> int:
-        """Return the revision of the last known record, 0 without one."""
-        known = self._records.get(shard)
-        return 0 if known is None else known[1]
+        """Return the revision of the cached record, or 0 without one."""
+        cached = self._records.get(shard)
+        return 0 if cached is None else cached[1]
 
     async def refresh(self, *, may_take_over: bool = True) -> bool:
-        """Reread all records, then take the free shards meant for this entry.
+        """Reread all records, then take the free shards this entry should own.
 
         Call it at start, after an outage and at long intervals. During an
         outage the owned shards are kept; the records are reread before
         anything is written after it. Without ``may_take_over``, shards of
-        missing owners are left alone. Returns false if the store is down.
+        missing owners are not taken. Returns false if the store is down.
         """
         try:
             await self._reread()
@@ -132,34 +133,34 @@
         return True
 
     async def take_preferred(self, *, may_take_over: bool = True) -> None:
-        """Take the free shards meant for this entry.
+        """Take the free shards that rendezvous hashing assigns to this entry.
 
         Call it after a change of the members or of an observed record. It
-        does nothing while the records must first be reread.
+        takes nothing while the records must first be reread.
         """
         for number in range(self._shard_count):
             shard = ShardId(number)
-            if not may_take_over and self._is_others(shard):
+            if not may_take_over and self._is_owned_by_other(shard):
                 continue
             if self._should_take(shard):
                 await self.take(shard)
 
     async def take(self, shard: ShardId) -> bool:
-        """Take a free shard with the next epoch.
+        """Take a free shard under the next epoch.
 
         Returns false if another entry was first or the store is down.
         """
         if self._must_reread or not self._is_free(shard):
             return False
-        known = self._records.get(shard)
-        former_epoch = 0 if known is None else known[0].epoch
+        cached = self._records.get(shard)
+        former_epoch = 0 if cached is None else cached[0].epoch
         record = OwnerRecord(
             owner=self._entry_id,
             incarnation=self._incarnation,
             epoch=Epoch(former_epoch + 1),
             nonce=random_id(),
         )
-        if not await self._swap(shard, record):
+        if not await self._compare_and_swap(shard, record):
             return False
         self.owned[shard] = record.epoch
         _LOG.info(
@@ -168,9 +169,10 @@
         return True
 
     async def hand_over(self, shard: ShardId) -> bool:
-        """Free an owned shard on a planned stop; its epoch stays.
+        """Release an owned shard for another entry; its epoch stays.
 
-        The caller stops using the shard first.
+        The caller stops using the shard first. Returns whether the record
+        was written.
         """
         epoch = self.owned.pop(shard, None)
         if epoch is None or self._must_reread:
@@ -181,13 +183,13 @@
             epoch=epoch,
             nonce=random_id(),
         )
-        return await self._swap(shard, freed)
+        return await self._compare_and_swap(shard, freed)
 
     async def advance_epoch(self, shard: ShardId) -> bool:
         """Move an owned shard to the next epoch.
 
-        Grants of the former epoch end at the next fence. It serves a worker
-        that was disowned and came back while the shard did not change hands.
+        Grants of the former epoch end at the next fence. It is needed for a
+        worker that was disowned and came back while the shard kept its owner.
         """
         epoch = self.owned.get(shard)
         if epoch is None or self._must_reread:
@@ -198,7 +200,7 @@
             epoch=Epoch(epoch + 1),
             nonce=random_id(),
         )
-        if not await self._swap(shard, record):
+        if not await self._compare_and_swap(shard, record):
             return False
         self.owned[shard] = record.epoch
         return True
@@ -206,7 +208,7 @@
     def misplaced(self) -> list[ShardId]:
         """Return the owned shards that another live entry should own.
 
-        Handing over a few at a time balances the entries after a start.
+        Handing over a few at a time balances the shards after an entry starts.
         """
         members = self._candidates()
         return [
@@ -216,20 +218,23 @@
         ]
 
     def mark_lost(self, shard: ShardId) -> None:
-        """Give up a shard after a refusal that proves a higher epoch."""
+        """Disown a shard after a refusal that proves a higher epoch."""
         if self.owned.pop(shard, None) is not None:
             _LOG.warning('shard lost', key=f'{self._prefix}/{shard}')
         self._must_reread = True
 
     def observe(self, stored: StoredValue) -> None:
-        """Take over one record, as a reading or a watch shows it."""
+        """Cache a record from a reading or a watch unless it is outdated.
+
+        An owned shard whose record names another owner is lost.
+        """
         shard = ShardId(int(stored.key.rpartition('/')[2]))
         record = msgspec.json.decode(stored.body, type=OwnerRecord)
-        known = self._records.get(shard)
-        if known is not None and known[1] > stored.mod_revision:
+        cached = self._records.get(shard)
+        if cached is not None and cached[1] > stored.mod_revision:
             return
         self._records[shard] = (record, stored.mod_revision)
-        if shard in self.owned and not self._is_mine(record):
+        if shard in self.owned and not self._names_this_process(record):
             self.owned.pop(shard)
             _LOG.warning('shard lost', key=stored.key, epoch=record.epoch)
 
@@ -242,10 +247,12 @@
             self.observe(stored)
         self._must_reread = False
 
-    async def _swap(self, shard: ShardId, record: OwnerRecord) -> bool:
-        known = self._records.get(shard)
+    async def _compare_and_swap(
+        self, shard: ShardId, record: OwnerRecord
+    ) -> bool:
+        cached = self._records.get(shard)
         key = f'{self._prefix}/{shard}'
-        guard = Guard(key, 0 if known is None else known[1])
+        guard = Guard(key, 0 if cached is None else cached[1])
         try:
             outcome = await self._store.commit(
                 [guard],
@@ -253,7 +260,7 @@
                 urgency=Urgency.OWNERSHIP,
             )
         except StoreAnswerLost:
-            return await self._settle(shard, record)
+            return await self._verify_by_reading(shard, record)
         except StoreUnavailable:
             self._must_reread = True
             return False
@@ -263,12 +270,14 @@
         self._records[shard] = (record, outcome.revision)
         return True
 
-    async def _settle(self, shard: ShardId, record: OwnerRecord) -> bool:
-        """Read back a write whose answer was lost.
+    async def _verify_by_reading(
+        self, shard: ShardId, record: OwnerRecord
+    ) -> bool:
+        """Read back a record whose write had no answer; return if it is ours.
 
         If the store can't be read either, the shard counts as not taken. The
         record may then name this process without its knowledge; the next
-        refresh takes it again with a higher epoch.
+        refresh takes the shard again under a higher epoch.
         """
         try:
             stored = await self._store.read(
@@ -286,30 +295,30 @@
     def _should_take(self, shard: ShardId) -> bool:
         if shard in self.owned or not self._is_free(shard):
             return False
-        known = self._records.get(shard)
-        if known is not None and self._is_mine(known[0]):
+        cached = self._records.get(shard)
+        if cached is not None and self._names_this_process(cached[0]):
             # A hand-over did not reach the store. No other entry takes the
-            # shard while the record names this process.
+            # shard while its record names this process.
             return True
         return preferred_entry(shard, self._candidates()) == self._entry_id
 
     def _is_free(self, shard: ShardId) -> bool:
-        known = self._records.get(shard)
-        if known is None:
+        cached = self._records.get(shard)
+        if cached is None:
             return True
-        record = known[0]
-        if self._is_mine(record):
+        record = cached[0]
+        if self._names_this_process(record):
             return shard not in self.owned
         return self._members().get(record.owner) != record.incarnation
 
-    def _is_others(self, shard: ShardId) -> bool:
-        """Tell whether a record names an entry other than this process."""
-        known = self._records.get(shard)
-        if known is None or not known[0].owner:
+    def _is_owned_by_other(self, shard: ShardId) -> bool:
+        """Tell whether the record of a shard names another process."""
+        cached = self._records.get(shard)
+        if cached is None or not cached[0].owner:
             return False
-        return not self._is_mine(known[0])
+        return not self._names_this_process(cached[0])
 
-    def _is_mine(self, record: OwnerRecord) -> bool:
+    def _names_this_process(self, record: OwnerRecord) -> bool:
         return (
             record.owner == self._entry_id
             and record.incarnation == self._incarnation
--- a/src/marjoramwharf/contracts/permit_pool.py
+++ b/src/marjoramwharf/contracts/permit_pool.py
@@ -1,8 +1,8 @@
-"""The borrower's grants and the permits taken from them.
+"""The pool of grants that an entry has borrowed, and of their permits.
 
-The wallet does no I/O; the present time in monotonic seconds is an argument.
-A permit is free, in use or in doubt. A permit in doubt is freed only after
-the worker has settled its call.
+The pool does no I/O; callers pass the present time in monotonic seconds. A
+permit is free, in use or in doubt. A permit in doubt is freed only after the
+worker has settled its call.
 """
 
 from __future__ import annotations
@@ -16,21 +16,22 @@
 from marjoramwharf.contracts.permits import Grant, GrantShare, Permit
 from marjoramwharf.ids import GrantId, ServiceId, WorkerId
 
-# A call must not be sent just before the owner revokes its grant: it would be
-# refused. The margin covers the way to a worker in another data centre.
+# A call that is sent just before its grant expires would be refused, since the
+# owner revokes the grant. The margin covers the one-way delay to a worker in
+# another data centre.
 EXPIRY_MARGIN_S = 0.05
 
-# Draws for one choice; expired and excluded workers among them are skipped.
-_SAMPLE_COUNT = 8
+# Workers sampled for one choice; expired and excluded ones are skipped.
+_DEFAULT_SAMPLE_COUNT = 8
 
 
 @dataclass(slots=True)
-class _Held:
+class _HeldGrant:
     grant: Grant
     free_count: int
     used_at_s: float
     is_renewable: bool = True
-    taken: dict[int, bool] = field(default_factory=dict)
+    in_doubt_by_serial: dict[int, bool] = field(default_factory=dict)
 
     def is_usable(self, now_s: float) -> bool:
         return (
@@ -41,7 +42,7 @@
     def take(self, serial: int, now_s: float) -> Permit:
         self.free_count -= 1
         self.used_at_s = now_s
-        self.taken[serial] = False
+        self.in_doubt_by_serial[serial] = False
         return Permit(
             grant_id=self.grant.grant_id,
             worker_id=self.grant.worker_id,
@@ -52,10 +53,11 @@
 
 
 class PermitPool:
-    """All grants of one borrower, by worker and by service.
+    """Holds all grants of one borrower, by worker and by service.
 
-    ``services_of`` returns the services that a worker runs. ``available_workers``
-    holds the workers with a free permit; some of the permits may be expired.
+    ``services_of`` returns the services that a worker runs.
+    ``available_workers`` indexes the workers with a free permit; some of
+    these permits may have expired.
     """
 
     def __init__(
@@ -64,11 +66,11 @@
     ) -> None:
         """Start without grants."""
         self.available_workers = ServiceIndex(services_of)
-        self._held: dict[GrantId, _Held] = {}
-        self._by_worker: dict[WorkerId, list[GrantId]] = {}
+        self._grants: dict[GrantId, _HeldGrant] = {}
+        self._grant_ids_by_worker: dict[WorkerId, list[GrantId]] = {}
         self._serial = itertools.count(1)
         self._free_count = 0
-        self._least_free_count = 0
+        self._lowest_free_count = 0
 
     @property
     def free_count(self) -> int:
@@ -76,21 +78,25 @@
         return self._free_count
 
     def add(self, grant: Grant, now_s: float) -> None:
-        """Add a new grant; all of its permits are free."""
-        if grant.grant_id in self._held:
+        """Add a new grant with all its permits free; ignore a repeat."""
+        if grant.grant_id in self._grants:
             return
-        self._held[grant.grant_id] = _Held(grant, grant.slots_count, now_s)
+        self._grants[grant.grant_id] = _HeldGrant(
+            grant, grant.slots_count, now_s
+        )
         self._free_count += grant.slots_count
-        self._by_worker.setdefault(grant.worker_id, []).append(grant.grant_id)
-        self._index(grant.worker_id)
+        self._grant_ids_by_worker.setdefault(grant.worker_id, []).append(
+            grant.grant_id
+        )
+        self._update_index(grant.worker_id)
 
     def take(self, worker_id: WorkerId, now_s: float) -> Permit | None:
-        """Take a permit of one worker, or ``None`` without a valid one."""
-        for held in self._held_of(worker_id):
+        """Take a permit of one worker; ``None`` if it has no valid one."""
+        for held in self._grants_of(worker_id):
             if held.is_usable(now_s):
                 permit = held.take(next(self._serial), now_s)
-                self._count_free(-1)
-                self._index(worker_id)
+                self._change_free_count(-1)
+                self._update_index(worker_id)
                 return permit
         return None
 
@@ -114,7 +120,7 @@
         now_s: float,
         *,
         rng: random.Random,
-        count: int = _SAMPLE_COUNT,
+        count: int = _DEFAULT_SAMPLE_COUNT,
     ) -> list[WorkerId]:
         """Return up to ``count`` random workers with a valid free permit.
 
@@ -123,55 +129,62 @@
         return [
             worker_id
             for worker_id in self.available_workers.sample(service, rng, count)
-            if any(held.is_usable(now_s) for held in self._held_of(worker_id))
+            if any(held.is_usable(now_s) for held in self._grants_of(worker_id))
         ]
 
     def put_back(self, permit: Permit, now_s: float) -> None:
         """Free a permit whose call has ended at the worker."""
-        held = self._held.get(permit.grant_id)
-        if held is None or held.taken.pop(permit.serial, None) is None:
+        held = self._grants.get(permit.grant_id)
+        if (
+            held is None
+            or held.in_doubt_by_serial.pop(permit.serial, None) is None
+        ):
             return
         held.free_count += 1
-        self._count_free(1)
+        self._change_free_count(1)
         held.used_at_s = now_s
-        self._index(permit.worker_id)
+        self._update_index(permit.worker_id)
 
     def mark_in_doubt(self, permit: Permit) -> None:
-        """Keep a permit until the worker has settled its call."""
-        held = self._held.get(permit.grant_id)
-        if held is not None and permit.serial in held.taken:
-            held.taken[permit.serial] = True
+        """Hold a permit until the worker has settled its call."""
+        held = self._grants.get(permit.grant_id)
+        if held is not None and permit.serial in held.in_doubt_by_serial:
+            held.in_doubt_by_serial[permit.serial] = True
 
     def release_in_doubt(self, permit: Permit, now_s: float) -> None:
-        """Free a permit in doubt: its call ended or never started."""
+        """Free a permit in doubt whose call has ended or never started."""
         self.put_back(permit, now_s)
 
     def renew(self, grant_id: GrantId, expires_at_s: float) -> None:
-        """Move the expiry of a grant that is still held."""
-        held = self._held.get(grant_id)
+        """Extend the expiry of a grant that is still held."""
+        held = self._grants.get(grant_id)
         if held is not None:
             later = max(expires_at_s, held.grant.expires_at_s)
             held.grant = replace(held.grant, expires_at_s=later)
 
     def renewable_grants(self) -> list[GrantId]:
-        """Return the grants whose renewal may be asked for."""
-        return [name for name, held in self._held.items() if held.is_renewable]
+        """Return the ids of the grants that may be renewed."""
+        return [
+            grant_id
+            for grant_id, held in self._grants.items()
+            if held.is_renewable
+        ]
 
     def drop_grants(self, grant_ids: Iterable[GrantId]) -> None:
         """Drop grants with all their permits."""
         for grant_id in grant_ids:
-            held = self._held.pop(grant_id, None)
+            held = self._grants.pop(grant_id, None)
             if held is not None:
-                self._count_free(-held.free_count)
-                self._by_worker[held.grant.worker_id].remove(grant_id)
-                self._index(held.grant.worker_id)
+                self._change_free_count(-held.free_count)
+                self._grant_ids_by_worker[held.grant.worker_id].remove(grant_id)
+                self._update_index(held.grant.worker_id)
 
     def drop_expired(self, now_s: float) -> None:
-        """Drop the expired grants; their calls run on at the worker."""
+        """Drop the expired grants; their calls go on at the worker."""
         self.drop_grants(
             [
                 grant_id
-                for grant_id, held in self._held.items()
+                for grant_id, held in self._grants.items()
                 if held.grant.expires_at_s <= now_s
             ],
         )
@@ -179,73 +192,73 @@
     def withdraw_idle(
         self, now_s: float, *, idle_after_s: float
     ) -> list[GrantShare]:
-        """Remove the free permits of unused grants, to be given back.
+        """Remove the free permits of idle grants, to be given back.
 
-        The shares are no longer in the wallet when this returns, so that no
-        call can use a slot that is on its way to the owner.
+        They have left the pool when this returns, so that no call can use a
+        slot that is on its way back to the owner.
         """
         due = [
             held
-            for held in self._held.values()
+            for held in self._grants.values()
             if held.free_count and now_s - held.used_at_s >= idle_after_s
         ]
-        return [self._withdraw(held, held.free_count) for held in due]
+        return [self._withdraw_permits(held, held.free_count) for held in due]
 
     def withdraw_surplus(self, *, min_free_count: int) -> list[GrantShare]:
-        """Remove the permits that nobody needed since the last call.
+        """Remove the permits that were not needed since the last call.
 
-        The least number of free permits in the meantime shows how many were
-        not needed; ``min_free_count`` of them are kept. The grants that were
-        used last longest ago go first.
+        The smallest number of free permits in the meantime shows how many
+        were not needed; ``min_free_count`` of them are kept. The least
+        recently used grants are withdrawn first.
         """
-        left = self._least_free_count - min_free_count
-        self._least_free_count = self._free_count
+        surplus_count = self._lowest_free_count - min_free_count
+        self._lowest_free_count = self._free_count
         shares = []
-        for held in sorted(self._held.values(), key=_used_at):
-            if left <= 0:
+        for held in sorted(self._grants.values(), key=_last_use_s):
+            if surplus_count <= 0:
                 break
-            count = min(left, held.free_count)
+            count = min(surplus_count, held.free_count)
             if count:
-                left -= count
-                shares.append(self._withdraw(held, count))
+                surplus_count -= count
+                shares.append(self._withdraw_permits(held, count))
         return shares
 
     def mark_return_failed(self, grant_ids: Iterable[GrantId]) -> None:
-        """Let grants lapse after a return whose answer was lost.
+        """Stop renewing grants after a return whose answer was lost.
 
-        The owner may count more slots than this wallet; the revocation after
-        the expiry makes both agree.
+        The owner may count more slots as lent than this pool holds. Both
+        agree again when the grants expire and are revoked.
         """
         for grant_id in grant_ids:
-            held = self._held.get(grant_id)
+            held = self._grants.get(grant_id)
             if held is not None:
                 held.is_renewable = False
 
-    def _withdraw(self, held: _Held, count: int) -> GrantShare:
-        """Take free permits out of a grant, to be given back."""
+    def _withdraw_permits(self, held: _HeldGrant, count: int) -> GrantShare:
+        """Remove free permits from a grant, to be given back."""
         grant = held.grant
         held.free_count -= count
-        self._count_free(-count)
-        self._index(grant.worker_id)
-        if not held.taken and not held.free_count:
+        self._change_free_count(-count)
+        self._update_index(grant.worker_id)
+        if not held.in_doubt_by_serial and not held.free_count:
             self.drop_grants((grant.grant_id,))
         return GrantShare(grant.grant_id, grant.worker_id, count)
 
-    def _count_free(self, change: int) -> None:
+    def _change_free_count(self, change: int) -> None:
         self._free_count += change
-        self._least_free_count = min(self._least_free_count, self._free_count)
+        self._lowest_free_count = min(self._lowest_free_count, self._free_count)
 
-    def _held_of(self, worker_id: WorkerId) -> list[_Held]:
-        grant_ids = self._by_worker.get(worker_id, ())
-        return [self._held[grant_id] for grant_id in grant_ids]
+    def _grants_of(self, worker_id: WorkerId) -> list[_HeldGrant]:
+        grant_ids = self._grant_ids_by_worker.get(worker_id, ())
+        return [self._grants[grant_id] for grant_id in grant_ids]
 
-    def _index(self, worker_id: WorkerId) -> None:
-        held_of_worker = self._held_of(worker_id)
-        if not held_of_worker:
-            self._by_worker.pop(worker_id, None)
-        has_free = any(held.free_count for held in held_of_worker)
+    def _update_index(self, worker_id: WorkerId) -> None:
+        grants_of_worker = self._grants_of(worker_id)
+        if not grants_of_worker:
+            self._grant_ids_by_worker.pop(worker_id, None)
+        has_free = any(held.free_count for held in grants_of_worker)
         self.available_workers.update(worker_id, has_free=has_free)
 
 
-def _used_at(held: _Held) -> float:
+def _last_use_s(held: _HeldGrant) -> float:
     return held.used_at_s
--- a/src/marjoramwharf/contracts/permits.py
+++ b/src/marjoramwharf/contracts/permits.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantShare:
-    """Some slots of a grant, as they are given back to the owner."""
+    """Slots of a grant that are given back to the owner."""
 
     grant_id: GrantId
     worker_id: WorkerId
@@ -41,7 +41,7 @@
 class Permit:
     """The right to run one call on one worker.
 
-    ``serial`` tells the permits of a grant apart.
+    ``serial`` identifies the permit within its grant.
     """
 
     grant_id: GrantId
--- a/src/marjoramwharf/contracts/release_note.py
+++ b/src/marjoramwharf/contracts/release_note.py
@@ -1,9 +1,9 @@
-"""Release notes: one declaration of what is added, changed and withdrawn.
+"""Release notes: declarations of what is added, changed and withdrawn.
 
 A note is a JSON file with comments in the operators' version control. An
-added thing is declared in full; a changed thing lists only the fields that
-change; a withdrawn thing is named. :func:`shared_fields` tells whether two
-notes can be accepted independently of each other.
+added item is declared in full; a changed item lists only the fields that
+change; a withdrawn item is only named. Two notes can be accepted
+independently of each other if :func:`shared_fields` returns nothing.
 """
 
 from __future__ import annotations
@@ -35,21 +35,21 @@
 RunSeconds: TypeAlias = Annotated[int, Meta(ge=1, le=2_592_000)]
 TimeMs: TypeAlias = Annotated[int, Meta(ge=0)]
 
-_AT_PATH = re.compile(r'^(?P<text>.*) - at `(?P<path>\$[^`]*)`$', re.DOTALL)
-_UNKNOWN = re.compile('unknown field `([^`]+)`')
+_FIELD_PATH = re.compile(r'^(?P<text>.*) - at `(?P<path>\$[^`]*)`$', re.DOTALL)
+_UNKNOWN_FIELD = re.compile('unknown field `([^`]+)`')
 _SYNTAX_LINE = re.compile(r'<string>:(\d+)')
 
 
-class _Model(
+class _NoteStruct(
     Struct,
     frozen=True,
     forbid_unknown_fields=True,
     omit_defaults=True,
 ):
-    """Base of all parts of a note: immutable, unknown fields refused."""
+    """Base of the structs of a note: immutable, without unknown fields."""
 
 
-class Service(_Model, frozen=True):
+class Service(_NoteStruct, frozen=True):
     """A latency-critical service with its objective and reservation."""
 
     name: Name
@@ -63,7 +63,7 @@
         return self.name
 
 
-class ServiceChange(_Model, frozen=True):
+class ServiceChange(_NoteStruct, frozen=True):
     """New values of some fields of a service."""
 
     name: Name
@@ -77,7 +77,7 @@
         return self.name
 
 
-class TaskClass(_Model, frozen=True):
+class TaskClass(_NoteStruct, frozen=True):
     """A class of batch tasks that behave alike beside services."""
 
     name: Name
@@ -91,7 +91,7 @@
         return self.name
 
 
-class TaskClassChange(_Model, frozen=True):
+class TaskClassChange(_NoteStruct, frozen=True):
     """New values of some fields of a task class."""
 
     name: Name
@@ -105,7 +105,7 @@
         return self.name
 
 
-class QuotaKey(_Model, frozen=True):
+class QuotaKey(_NoteStruct, frozen=True):
     """The team and the service of a quota."""
 
     team: Name
@@ -120,9 +120,9 @@
 class Quota(QuotaKey, frozen=True):
     """How much of a service a team may use.
 
-    ``slots_count`` bounds the concurrent requests, ``weight`` is the team's
-    part in fair sharing. From ``valid_until_ms`` (Unix time) on, the quota no
-    longer applies.
+    ``slots_count`` limits the concurrent requests, ``weight`` is the team's
+    weight in fair sharing. From ``valid_until_ms`` (Unix time) on, the quota
+    no longer applies.
     """
 
     slots_count: SlotCount
@@ -138,7 +138,7 @@
     valid_until_ms: TimeMs | None = None
 
 
-class ServiceChanges(_Model, frozen=True):
+class ServiceChanges(_NoteStruct, frozen=True):
     """Services that are added, changed and withdrawn."""
 
     added: tuple[Service, ...] = ()
@@ -146,7 +146,7 @@
     withdrawn: tuple[Name, ...] = ()
 
 
-class TaskClassChanges(_Model, frozen=True):
+class TaskClassChanges(_NoteStruct, frozen=True):
     """Task classes that are added, changed and withdrawn."""
 
     added: tuple[TaskClass, ...] = ()
@@ -154,7 +154,7 @@
     withdrawn: tuple[Name, ...] = ()
 
 
-class QuotaChanges(_Model, frozen=True):
+class QuotaChanges(_NoteStruct, frozen=True):
     """Quotas that are added, changed and withdrawn."""
 
     added: tuple[Quota, ...] = ()
@@ -162,15 +162,15 @@
     withdrawn: tuple[QuotaKey, ...] = ()
 
 
-class InstanceChanges(_Model, frozen=True):
+class InstanceChanges(_NoteStruct, frozen=True):
     """Workers that are admitted and withdrawn."""
 
     admitted: tuple[Name, ...] = ()
     withdrawn: tuple[Name, ...] = ()
 
 
-class LimitChanges(_Model, frozen=True):
-    """New limits of the queue: as a whole, per team and per caller."""
+class LimitChanges(_NoteStruct, frozen=True):
+    """New queue limits: in total, per team and per caller."""
 
     queue_count: QueueCount | None = None
     team_count: QueueCount | None = None
@@ -182,7 +182,7 @@
     """How a worker is chosen for a request.
 
     ``PREDICTED`` compares predicted latencies and hedges slow requests; the
-    others are the simple rules that it is measured against.
+    others are simple rules that serve as its baselines.
     """
 
     PREDICTED = 'predicted'
@@ -190,8 +190,8 @@
     LEAST_LOADED = 'least_loaded'
 
 
-class PolicyChanges(_Model, frozen=True):
-    """New weights of the three measures, and the routing rule."""
+class PolicyChanges(_NoteStruct, frozen=True):
+    """New weights of the three scheduling objectives, and the routing rule."""
 
     tail_latency: Weight | None = None
     throughput: Weight | None = None
@@ -199,8 +199,8 @@
     routing: Routing | None = None
 
 
-class ReleaseNote(_Model, frozen=True):
-    """A release note.
+class ReleaseNote(_NoteStruct, frozen=True):
+    """A release note: the changes to the configuration with their author.
 
     ``note_id`` is chosen by the author and accepted once. ``based_on`` is
     the revision that the author saw; without it the note is based on the
@@ -221,7 +221,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """What is wrong with one field, given as ``$.quotas.added[0]``."""
+    """An error in one field, whose path is like ``$.quotas.added[0]``."""
 
     field: str
     message: str
@@ -229,19 +229,22 @@
 
 @dataclass(frozen=True, slots=True)
 class NoteFile:
-    """A note with the file that it came from and the lines of its fields."""
+    """A note with the name of its file and the line numbers of its fields."""
 
     note: ReleaseNote
     origin: str
     lines: dict[str, int] = field(default_factory=dict)
 
     def format_problem(self, problem: Problem) -> str:
-        """Return a message with file, line and field."""
-        return _located(self.origin, self.lines, problem)
+        """Return the message of a problem with its file, line and field."""
+        return _format_problem(self.origin, self.lines, problem)
 
 
 def load_note(path: pathlib.Path) -> NoteFile:
-    """Read a note; raises ``BadNote`` with file, line, field and range."""
+    """Read a note from a file.
+
+    Raises ``BadNote``, whose message names the file, line, field and range.
+    """
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as failure:
@@ -250,25 +253,27 @@
 
 
 def parse_note(text: str, *, origin: str) -> NoteFile:
-    """Read a note from a text; ``origin`` names it in error messages."""
+    """Parse the text of a note; ``origin`` names it in error messages."""
     try:
         note = jsonc.load_text(text, ReleaseNote, origin=origin)
     except BadSettings as failure:
         cause = failure.__cause__ or failure
-        raise BadNote(message=_explain(origin, text, str(cause))) from failure
+        raise BadNote(
+            message=_describe_error(origin, text, str(cause))
+        ) from failure
     return NoteFile(note, origin, field_lines(text))
 
 
 def touched_fields(note: ReleaseNote) -> frozenset[FieldPath]:
     """Return the paths of all fields that a note sets.
 
-    An added or withdrawn thing is one path, which stands for all its fields.
+    An added or withdrawn item gives one path, which covers all its fields.
     """
     paths: set[FieldPath] = set()
     for section in ('services', 'quotas', 'task_classes'):
         changes = getattr(note, section)
-        for whole in (*changes.added, *changes.withdrawn):
-            paths.add((section, identity_of(whole)))
+        for declared in (*changes.added, *changes.withdrawn):
+            paths.add((section, identity_of(declared)))
         for change in changes.changed:
             paths.update(
                 (section, change.identity, name)
@@ -282,20 +287,20 @@
 
 
 def shared_fields(left: ReleaseNote, right: ReleaseNote) -> tuple[str, ...]:
-    """Return the fields that both notes touch, such as ``limits.team_count``.
+    """Return the fields that both notes set, such as ``limits.team_count``.
 
-    A thing that one note adds or withdraws shares every field that the other
+    An item that one note adds or withdraws shares every field that the other
     note changes of it.
     """
     left_paths = touched_fields(left)
     right_paths = touched_fields(right)
-    shared = set(_covered(left_paths, right_paths))
-    shared.update(_covered(right_paths, left_paths))
+    shared = set(_paths_covered_by(left_paths, right_paths))
+    shared.update(_paths_covered_by(right_paths, left_paths))
     return tuple(sorted('.'.join(path) for path in shared))
 
 
 def changed_fields(change: Struct) -> dict[str, object]:
-    """Return the fields that a partial declaration sets."""
+    """Return the fields that a change sets, without the key of the item."""
     return {
         name: getattr(change, name)
         for name in change.__struct_fields__
@@ -305,34 +310,36 @@
 
 
 def identity_of(declared: str | Service | TaskClass | QuotaKey) -> str:
-    """Return the key of a declared or withdrawn thing."""
+    """Return the key of an item that is declared or withdrawn."""
     return declared if isinstance(declared, str) else declared.identity
 
 
-def _covered(
+def _paths_covered_by(
     paths: frozenset[FieldPath],
-    others: frozenset[FieldPath],
+    covering: frozenset[FieldPath],
 ) -> Iterator[FieldPath]:
     for path in paths:
         prefixes = (path[:length] for length in range(1, len(path) + 1))
-        if any(prefix in others for prefix in prefixes):
+        if any(prefix in covering for prefix in prefixes):
             yield path
 
 
-def _explain(origin: str, text: str, message: str) -> str:
+def _describe_error(origin: str, text: str, message: str) -> str:
     syntax = _SYNTAX_LINE.search(message)
     if syntax is not None:
         return f'{origin}:{syntax.group(1)}: {message}'
-    match = _AT_PATH.match(message)
+    match = _FIELD_PATH.match(message)
     path = '$'
     if match is not None:
         message, path = match.group('text'), match.group('path')
-    unknown = _UNKNOWN.search(message)
+    unknown = _UNKNOWN_FIELD.search(message)
     if unknown is not None:
         path = f'{path}.{unknown.group(1)}'
-    return _located(origin, field_lines(text), Problem(path, message))
+    return _format_problem(origin, field_lines(text), Problem(path, message))
 
 
-def _located(origin: str, lines: dict[str, int], problem: Problem) -> str:
+def _format_problem(
+    origin: str, lines: dict[str, int], problem: Problem
+) -> str:
     line = line_of(lines, problem.field)
     return f'{origin}:{line}: {problem.field}: {problem.message}'
--- a/src/marjoramwharf/contracts/reservations.py
+++ b/src/marjoramwharf/contracts/reservations.py
@@ -19,7 +19,7 @@
 Fence: TypeAlias = tuple[int, int]
 AttemptKey: TypeAlias = tuple[TaskId, Fence]
 
-_RUNNING = frozenset((TaskPhase.RUNNING, TaskPhase.THROTTLED))
+_RUNNING_PHASES = frozenset((TaskPhase.RUNNING, TaskPhase.THROTTLED))
 
 
 @dataclass(slots=True)
@@ -30,17 +30,17 @@
 
 
 class Reservations:
-    """The task attempts that hold a part of one worker."""
+    """Tracks the reservations of task attempts on one worker."""
 
     def __init__(self, capacity: Capacity) -> None:
         """Start without reservations."""
         self._capacity = capacity
-        self._held: dict[AttemptKey, _Reservation] = {}
+        self._by_attempt: dict[AttemptKey, _Reservation] = {}
 
     @property
     def free(self) -> Demand:
-        """What is left; negative after adoption of too much work."""
-        demands = [held.demand for held in self._held.values()]
+        """Unreserved capacity; negative if adopted attempts exceed it."""
+        demands = [held.demand for held in self._by_attempt.values()]
         return Demand(
             cpu_millicores=self._capacity.cpu_millicores
             - sum(demand.cpu_millicores for demand in demands),
@@ -57,16 +57,19 @@
         demand: Demand,
         now_s: float,
     ) -> bool:
-        """Reserve for an attempt; a repeat of the same attempt succeeds."""
-        if (task_id, fence) in self._held:
+        """Reserve a demand for an attempt; return whether it fits.
+
+        A repeat for the same attempt succeeds and reserves nothing more.
+        """
+        if (task_id, fence) in self._by_attempt:
             return True
         fits = self.has_capacity(demand)
         if fits:
-            self._held[task_id, fence] = _Reservation(demand, now_s)
+            self._by_attempt[task_id, fence] = _Reservation(demand, now_s)
         return fits
 
     def has_capacity(self, demand: Demand) -> bool:
-        """Tell whether a demand fits into what is free.
+        """Tell whether a demand fits into the free capacity.
 
         A negative demand fits nowhere: it would add to the capacity.
         """
@@ -78,39 +81,39 @@
         )
 
     def demands(self) -> dict[AttemptKey, Demand]:
-        """Return the reserved sizes."""
-        return {key: held.demand for key, held in self._held.items()}
+        """Return the reserved demand of each attempt."""
+        return {key: held.demand for key, held in self._by_attempt.items()}
 
     def holds(self, task_id: TaskId, fence: Fence) -> bool:
         """Tell whether an attempt has a reservation here."""
-        return (task_id, fence) in self._held
+        return (task_id, fence) in self._by_attempt
 
     def seen_at_s(self, task_id: TaskId, fence: Fence) -> float | None:
-        """Return since when an attempt is known to run."""
-        held = self._held.get((task_id, fence))
+        """Return when an attempt was first reported running, if it was."""
+        held = self._by_attempt.get((task_id, fence))
         return None if held is None else held.seen_at_s
 
     def release(self, task_id: TaskId, fence: Fence) -> None:
-        """End a reservation after the worker has confirmed the end."""
-        self._held.pop((task_id, fence), None)
+        """Release a reservation after the worker has confirmed the end."""
+        self._by_attempt.pop((task_id, fence), None)
 
     def record_reports(self, tasks: Iterable[TaskReport], now_s: float) -> None:
-        """Adopt the running attempts and free those that ended.
+        """Adopt the reported running attempts and free those that ended.
 
         ``tasks`` is the complete list of a worker's reply. An attempt that
-        was once seen running and is no longer listed has ended.
+        was once reported running and is no longer listed has ended.
         """
         running: set[AttemptKey] = set()
         for report in tasks:
             key = (report.task_id, report.fence)
-            if report.phase in _RUNNING:
+            if report.phase in _RUNNING_PHASES:
                 running.add(key)
                 self._adopt(key, report.demand, now_s)
             elif report.phase is not TaskPhase.UNKNOWN:
-                self._held.pop(key, None)
-        self._held = {
+                self._by_attempt.pop(key, None)
+        self._by_attempt = {
             key: held
-            for key, held in self._held.items()
+            for key, held in self._by_attempt.items()
             if key in running or held.seen_at_s is None
         }
 
@@ -124,14 +127,14 @@
         """
         return [
             key
-            for key, held in self._held.items()
+            for key, held in self._by_attempt.items()
             if held.seen_at_s is None
             and now_s - held.reserved_at_s >= older_than_s
         ]
 
     def _adopt(self, key: AttemptKey, demand: Demand, now_s: float) -> None:
-        held = self._held.get(key)
+        held = self._by_attempt.get(key)
         if held is None:
-            self._held[key] = _Reservation(demand, now_s, now_s)
+            self._by_attempt[key] = _Reservation(demand, now_s, now_s)
         elif held.seen_at_s is None:
             held.seen_at_s = now_s
--- a/tests/contracts/test_lending_model.py
+++ b/tests/contracts/test_lending_model.py
@@ -36,8 +36,8 @@
 class _ForgetsRunningCalls(WorkerLedger):
     """Frees a revoked grant whole, though some of its calls run on."""
 
-    def _count_old(self, running: Iterable[RunningCall]) -> None:
-        super()._count_old(())
+    def _count_orphaned_calls(self, running: Iterable[RunningCall]) -> None:
+        super()._count_orphaned_calls(())
 
 
 class _LendsBeforeFence(WorkerLedger):
