--- a/tests/contracts/lending_model.py
+++ b/tests/contracts/lending_model.py
@@ -1,4 +1,4 @@
-"""A model of one worker, its owners and borrowers, driven by hypothesis."""
+"""A state machine of one worker, its owners and borrowers, for hypothesis."""
 
 from __future__ import annotations
 
@@ -45,13 +45,13 @@
 FEW_CONNECTIONS = replace(WORKER, capacity=Capacity(8, 6, 4000, 8000, 1))
 
 
-def make_wallet() -> PermitPool:
-    """Return an empty wallet that knows the worker."""
+def make_permit_pool() -> PermitPool:
+    """Return an empty permit pool that knows the worker's services."""
     return PermitPool(lambda _worker: WORKER.services)
 
 
 class ModelWorker:
-    """A worker that trusts the protocol: it never counts its own slots."""
+    """A worker that never limits its calls, so only the protocol does."""
 
     def __init__(self) -> None:
         """Start without calls."""
@@ -61,7 +61,7 @@
         self.connections: Counter[EntryId] = Counter()
 
     def accept(self, call_id: CallId, permit: Permit, sender: EntryId) -> bool:
-        """Run a call unless its epoch or grant is fenced off."""
+        """Run a call unless its epoch is stale or its grant is revoked."""
         if permit.epoch < self.epoch or permit.grant_id in self.revoked:
             return False
         self.running[call_id] = (permit.grant_id, sender)
@@ -69,7 +69,7 @@
         return True
 
     def lease(self, epoch: Epoch, revoked: list[GrantId]) -> LeaseReply:
-        """Fence and report."""
+        """Fence lower epochs, revoke grants and report the running calls."""
         if epoch >= self.epoch:
             self.epoch = epoch
             self.revoked.update(revoked)
@@ -87,15 +87,15 @@
 
 @dataclass
 class Owner:
-    """An owner that may be paused while a successor acts."""
+    """An owner that may be paused while its successor is active."""
 
     ledger: WorkerLedger
     pending: tuple[LeaseReply, list[GrantId], float] | None = None
 
 
 @dataclass
-class Sent:
-    """A call that may be delayed on its way to the worker."""
+class SentCall:
+    """A call that may reach the worker with a delay."""
 
     call_id: CallId
     permit: Permit
@@ -109,10 +109,10 @@
 
 
 class _LendingState(RuleBasedStateMachine):
-    """The worker, its owners and borrowers, and what must always hold."""
+    """The worker, its owners and borrowers, and the invariants."""
 
     ledger_type = WorkerLedger
-    worker_values = WORKER
+    worker_spec = WORKER
 
     def __init__(self) -> None:
         """Start with an owner that has not yet fenced the worker."""
@@ -120,34 +120,32 @@
         self.now_s: float = 0
         self.worker = ModelWorker()
         self.owners = [self._owner(Epoch(1))]
-        self.wallets = {name: make_wallet() for name in _BORROWERS}
-        self.lives = dict.fromkeys(_BORROWERS, 0)
-        self.late_grants: list[tuple[EntryId, int, Grant]] = []
-        self.sent: list[Sent] = []
-        self.doubts: list[Sent] = []
-        self.calls_count = 0
+        self.pools = {name: make_permit_pool() for name in _BORROWERS}
+        self.restarts = dict.fromkeys(_BORROWERS, 0)
+        self.undelivered: list[tuple[EntryId, int, Grant]] = []
+        self.in_flight: list[SentCall] = []
+        self.in_doubt: list[SentCall] = []
+        self.sent_calls_count = 0
         self.rng = random.Random(1)
 
     @invariant()
     def worker_is_not_overloaded(self) -> None:
         """The worker runs no more calls than it has slots."""
-        assert (
-            len(self.worker.running) <= self.worker_values.capacity.slots_count
-        )
+        assert len(self.worker.running) <= self.worker_spec.capacity.slots_count
 
     @invariant()
     def connections_fit(self) -> None:
         """The sessions stay within the worker's connections."""
         used = sum(self.worker.connections.values())
-        assert used <= self.worker_values.capacity.connections_count
+        assert used <= self.worker_spec.capacity.connections_count
 
-    def has_pending(self) -> bool:
-        """Tell whether a heartbeat reply is on its way."""
+    def has_pending_reply(self) -> bool:
+        """Tell whether a heartbeat reply is not processed yet."""
         return any(owner.pending is not None for owner in self.owners)
 
     def _owner(self, epoch: Epoch) -> Owner:
         ledger = self.ledger_type(
-            self.worker_values,
+            self.worker_spec,
             epoch,
             grant_ttl_s=3,
             connections_per_session=CONNECTIONS_PER_SESSION,
@@ -155,13 +153,15 @@
         return Owner(ledger)
 
     def _pick_owner(self, pick: int) -> Owner:
-        # The newest owner gets most events, the paused one a few.
+        # Most events go to the newest owner, a few to the paused one.
         if pick == 0:
             return self.owners[0]
         return self.owners[-1]
 
     def _has_call(self, name: EntryId) -> bool:
-        return any(sent.sender == name for sent in (*self.sent, *self.doubts))
+        return any(
+            sent.sender == name for sent in (*self.in_flight, *self.in_doubt)
+        )
 
 
 class LendingMachine(_LendingState):
@@ -178,24 +178,24 @@
         self.now_s += seconds
         self.heartbeat(-1, fate)
         if sweep:
-            for permit_pool in self.wallets.values():
-                permit_pool.drop_expired(self.now_s)
+            for pool in self.pools.values():
+                pool.drop_expired(self.now_s)
 
     @rule(pick=_PICK, name=_NAMES, slots=st.integers(1, 2), fate=_FATES)
     def borrow(self, pick: int, name: EntryId, slots: int, fate: str) -> None:
-        """Ask any process that believes it is the owner."""
-        life = self.lives[name]
+        """Borrow from a process that believes it is the owner."""
+        restart_count = self.restarts[name]
         lent = self._pick_owner(pick).ledger.lend(
             name,
             slots,
-            incarnation=Incarnation(str(life)),
+            incarnation=Incarnation(str(restart_count)),
         )
         if isinstance(lent, Grant):
-            self.late_grants.append((name, life, lent))
+            self.undelivered.append((name, restart_count, lent))
             if fate == 'received':
                 self.receive_grant(-1)
             elif fate == 'lost':
-                self.late_grants.pop()
+                self.undelivered.pop()
 
     @rule(name=_NAMES, late=st.booleans())
     def borrow_and_call(self, name: EntryId, late: bool) -> None:
@@ -205,41 +205,43 @@
         self.borrow(-1, name, 2, 'received')
         self.call(name, late)
 
-    @precondition(lambda machine: machine.late_grants)
+    @precondition(lambda machine: machine.undelivered)
     @rule(pick=_PICK)
     def receive_grant(self, pick: int) -> None:
         """Deliver a grant, at any later time."""
-        name, life, grant = self.late_grants.pop(pick % len(self.late_grants))
-        if life == self.lives[name]:
-            self.wallets[name].add(grant, self.now_s)
+        name, restart_count, grant = self.undelivered.pop(
+            pick % len(self.undelivered)
+        )
+        if restart_count == self.restarts[name]:
+            self.pools[name].add(grant, self.now_s)
 
     @rule(name=_NAMES, late=st.booleans())
     def call(self, name: EntryId, late: bool) -> None:
         """Take two permits; the calls may be sent much later."""
         for _ in range(2):
-            permit = self.wallets[name].take_random(
+            permit = self.pools[name].take_random(
                 SERVICE,
                 self.now_s,
                 rng=self.rng,
             )
             if permit is None:
                 return
-            self.calls_count += 1
-            call_id = CallId(str(self.calls_count))
-            self.sent.append(Sent(call_id, permit, name))
+            self.sent_calls_count += 1
+            call_id = CallId(str(self.sent_calls_count))
+            self.in_flight.append(SentCall(call_id, permit, name))
             if not late:
                 self.deliver(-1)
 
-    @precondition(lambda machine: machine.sent)
+    @precondition(lambda machine: machine.in_flight)
     @rule(pick=_PICK)
     def deliver(self, pick: int) -> None:
         """Let a delayed call reach the worker."""
-        sent = self.sent.pop(pick % len(self.sent))
+        sent = self.in_flight.pop(pick % len(self.in_flight))
         if self.worker.accept(sent.call_id, sent.permit, sent.sender):
-            self.wallets[sent.sender].mark_in_doubt(sent.permit)
-            self.doubts.append(sent)
+            self.pools[sent.sender].mark_in_doubt(sent.permit)
+            self.in_doubt.append(sent)
         else:
-            self.wallets[sent.sender].put_back(sent.permit, self.now_s)
+            self.pools[sent.sender].put_back(sent.permit, self.now_s)
 
     @precondition(lambda machine: machine.worker.running)
     @rule(pick=_PICK, release_in_doubt=st.booleans())
@@ -252,14 +254,14 @@
         if settled:
             self.settle()
 
-    @precondition(lambda machine: machine.doubts)
+    @precondition(lambda machine: machine.in_doubt)
     @rule()
     def settle(self) -> None:
         """Free the permits whose calls have ended."""
-        for sent in tuple(self.doubts):
+        for sent in tuple(self.in_doubt):
             if sent.call_id not in self.worker.running:
-                self.doubts.remove(sent)
-                self.wallets[sent.sender].release_in_doubt(
+                self.in_doubt.remove(sent)
+                self.pools[sent.sender].release_in_doubt(
                     sent.permit, self.now_s
                 )
 
@@ -267,32 +269,34 @@
     def renew(self, name: EntryId, pick: int) -> None:
         """Renew the grants of a borrower at one owner."""
         ledger = self._pick_owner(pick).ledger
-        for grant_id in self.wallets[name].renewable_grants():
+        for grant_id in self.pools[name].renewable_grants():
             renewed = ledger.renew(name, grant_id)
             if isinstance(renewed, Grant):
-                self.wallets[name].renew(grant_id, renewed.expires_at_s)
+                self.pools[name].renew(grant_id, renewed.expires_at_s)
 
     @rule(name=_NAMES, lost=st.booleans())
     def give_back(self, name: EntryId, lost: bool) -> None:
-        """Return the free permits; a lost return must not free twice."""
-        permit_pool = self.wallets[name]
-        shares = permit_pool.withdraw_idle(self.now_s, idle_after_s=0)
-        if not permit_pool.renewable_grants() and not self._has_call(name):
+        """Return the free permits; a lost return must not free them twice."""
+        pool = self.pools[name]
+        shares = pool.withdraw_idle(self.now_s, idle_after_s=0)
+        if not pool.renewable_grants() and not self._has_call(name):
             self.worker.connections[name] = 0
         for share in shares:
             if lost:
-                permit_pool.mark_return_failed((share.grant_id,))
+                pool.mark_return_failed((share.grant_id,))
                 continue
             for owner in self.owners:
                 owner.ledger.give_back(name, share.grant_id, share.slots_count)
 
     @rule(name=_NAMES)
     def crash(self, name: EntryId) -> None:
-        """Restart a borrower; its running calls go on."""
-        self.lives[name] += 1
-        self.wallets[name] = make_wallet()
-        self.sent = [sent for sent in self.sent if sent.sender != name]
-        self.doubts = [sent for sent in self.doubts if sent.sender != name]
+        """Restart a borrower while its running calls go on at the worker."""
+        self.restarts[name] += 1
+        self.pools[name] = make_permit_pool()
+        self.in_flight = [
+            sent for sent in self.in_flight if sent.sender != name
+        ]
+        self.in_doubt = [sent for sent in self.in_doubt if sent.sender != name]
         self.worker.connections[name] = 0
 
     @rule(pick=_PICK, fate=_FATES)
@@ -308,7 +312,7 @@
             elif fate == 'lost':
                 owner.pending = None
 
-    @precondition(lambda machine: machine.has_pending())
+    @precondition(lambda machine: machine.has_pending_reply())
     @rule(pick=_PICK)
     def receive_reply(self, pick: int) -> None:
         """Process the reply of a heartbeat."""
@@ -327,6 +331,6 @@
 
     @rule()
     def take_over(self) -> None:
-        """Start a successor; the former owner does not know of it."""
+        """Start a successor without the former owner's knowledge."""
         epoch = Epoch(self.owners[-1].ledger.epoch + 1)
         self.owners = [*self.owners[-1:], self._owner(epoch)]
--- a/tests/contracts/note_registries.py
+++ b/tests/contracts/note_registries.py
@@ -1,4 +1,4 @@
-"""Keepers on an in-memory store, for tests."""
+"""Note registries on an in-memory store, for tests."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def quiet_logs() -> None:
-    """Keep the expected warnings out of the output of the suite."""
+    """Suppress the expected warnings in the output of the tests."""
     configure_logs(as_json=False, level=logging.CRITICAL)
 
 
@@ -30,7 +30,7 @@
     name: str = 'entry-1',
     now_ms: Callable[[], int] = _mock_now_ms,
 ) -> NoteRegistry:
-    """Return a keeper with a fixed jitter."""
+    """Return a registry with a fixed jitter."""
     return NoteRegistry(
         store,
         entry=EntryId(name),
@@ -40,7 +40,7 @@
 
 
 def run_test(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test with a clock that jumps ahead."""
+    """Run a test with a mock clock that skips idle time."""
     trio.run(test, clock=MockClock(autojump_threshold=0))
 
 
--- a/tests/contracts/test_claims.py
+++ b/tests/contracts/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: one holder for each key, through conflicts and store faults."""
+"""Tests of claims: one holder for each key, despite store failures."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
         _with_claims(body)
 
     def test_conflict_in_a_group_harms_only_its_own_claim(self) -> None:
-        """Guards against a group that fails as a whole."""
+        """Guards against a conflict that fails all writes of a group."""
 
         async def body(claims: ClaimStore, store: MemoryStore) -> None:
             await _hold(claims, 'k1', 'first')
@@ -85,7 +85,7 @@
         _with_claims(body)
 
     def test_lost_answers_are_settled_by_reading(self) -> None:
-        """Guards against a claim that its own writer takes for another's."""
+        """Guards against a writer that doesn't recognise its own claim."""
 
         async def body(claims: ClaimStore, store: MemoryStore) -> None:
             store.answers_to_lose = 1
@@ -100,7 +100,7 @@
         _with_claims(body)
 
     def test_outage_is_a_failure_and_later_claims_succeed(self) -> None:
-        """Guards against a dispatch without a claim."""
+        """Guards against dispatching a call whose claim was not written."""
 
         async def body(claims: ClaimStore, store: MemoryStore) -> None:
             store.is_down = True
@@ -112,7 +112,7 @@
         _with_claims(body)
 
     def test_one_of_two_takes_over(self) -> None:
-        """Guards against two runs of a call that proved never to run."""
+        """Guards against two new attempts for one call that did not run."""
 
         async def body(claims: ClaimStore, _store: MemoryStore) -> None:
             former = await _hold(claims, 'k', 'first')
@@ -131,7 +131,7 @@
         _with_claims(body)
 
     def test_withdrawn_claim_is_not_taken_over(self) -> None:
-        """Guards against a run after a caller was told "not run"."""
+        """Guards against a run after the caller was told "not run"."""
 
         async def body(claims: ClaimStore, _store: MemoryStore) -> None:
             claim = await _hold(claims, 'k', 'first')
@@ -165,7 +165,7 @@
         _with_claims(body)
 
     def test_large_answer_keeps_its_digest_only(self) -> None:
-        """Guards against values beyond the store's limit."""
+        """Guards against stored answers above the size limit."""
 
         async def body(claims: ClaimStore, _store: MemoryStore) -> None:
             claim = await _hold(claims, 'k', 'c')
@@ -179,7 +179,7 @@
         _with_claims(body)
 
     def test_claims_share_leases_and_lapse(self) -> None:
-        """Guards against one lease for each claim and endless growth."""
+        """Guards against one lease for each claim, and unlimited growth."""
 
         async def body(claims: ClaimStore, store: MemoryStore) -> None:
             for number in range(20):
@@ -196,7 +196,7 @@
         _with_claims(body)
 
     def test_lost_lease_is_replaced(self) -> None:
-        """Guards against claims that fail for good after a lease is gone."""
+        """Guards against claims that keep failing after a lease has expired."""
 
         async def body(claims: ClaimStore, store: MemoryStore) -> None:
             await _hold(claims, 'k1', 'c')
@@ -208,7 +208,7 @@
         _with_claims(body)
 
     def test_digest_separates_its_parts(self) -> None:
-        """Guards against two requests that share a digest."""
+        """Guards against two different requests with the same digest."""
         self.assertNotEqual(
             request_digest('a', 'b', b''),
             request_digest('ab', '', b''),
--- a/tests/contracts/test_ledger.py
+++ b/tests/contracts/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: what the owner refuses to its borrowers."""
+"""Tests of the ledger: renewals and returns that the owner refuses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class LedgerTests(unittest.TestCase):
-    """Guards against grants that change after their revocation began."""
+    """Guards against grants that change after their revocation started."""
 
     def setUp(self) -> None:
         """Lend both slots of a fenced worker."""
@@ -30,21 +30,21 @@
         self.grant_id = self._lend()
 
     def test_no_renewal_after_revocation_began(self) -> None:
-        """Guards against a renewed grant that the worker refuses."""
+        """Guards against renewing a grant that the worker will refuse."""
         self.assertIsInstance(self.ledger.renew(_E1, self.grant_id), Grant)
         self.assertEqual(self.ledger.start_revocations(3), [self.grant_id])
         outcome = self.ledger.renew(_E1, self.grant_id)
         self.assertIsInstance(outcome, NoCapacity)
 
     def test_only_the_borrower_changes_its_grant(self) -> None:
-        """Guards against a peer that returns the slots of another."""
+        """Guards against a peer that returns or renews another's grant."""
         self.ledger.give_back(_E2, self.grant_id, 2)
         self.assertEqual(self.ledger.free_slots_count, 0)
         outcome = self.ledger.renew(_E2, self.grant_id)
         self.assertIsInstance(outcome, NoCapacity)
 
     def test_return_frees_at_once_and_ids_are_not_reused(self) -> None:
-        """Guards against two grants under one id."""
+        """Guards against two grants with the same id."""
         self.ledger.give_back(_E1, self.grant_id, 2)
         self.assertNotEqual(self._lend(), self.grant_id)
 
--- a/tests/contracts/test_lending.py
+++ b/tests/contracts/test_lending.py
@@ -1,4 +1,4 @@
-"""Two entries that lend to each other, through cuts and departures."""
+"""Tests of two entries that lend to each other, through failures."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     SERVICE,
     WORKER,
     ModelWorker,
-    make_wallet,
+    make_permit_pool,
 )
 
 _DELAY_S = 0.005
@@ -48,7 +48,7 @@
 
 
 class _Agent:
-    """The lease call of a model worker."""
+    """A worker agent that forwards the lease call to a model worker."""
 
     def __init__(self) -> None:
         self.worker = ModelWorker()
@@ -76,7 +76,7 @@
 
 
 class _Peer:
-    """Calls the handlers of another entry."""
+    """A peer client that calls the handlers of another entry."""
 
     def __init__(self, region: _Region, sender: str, receiver: str) -> None:
         self._region = region
@@ -84,7 +84,7 @@
         self._receiver = receiver
 
     async def call(self, message: Message, *, timeout_s: float) -> Message:
-        if self._region.is_cut:
+        if self._region.is_partitioned:
             await trio.sleep(timeout_s)
             raise PeerUnreachable(message='cut')
         await trio.sleep(_DELAY_S)
@@ -100,7 +100,7 @@
     """Two entries, of which the first owns the only worker."""
 
     def __init__(self) -> None:
-        self.is_cut = False
+        self.is_partitioned = False
         self.messages_count = 0
         self.agent = _Agent()
         self.superseded: list[WorkerId] = []
@@ -109,12 +109,12 @@
             self.managers[name] = self._capacity_manager(name, other)
 
     async def acquire(self, name: str) -> Permit | None:
-        """Ask one entry for a permit."""
+        """Acquire a permit at one entry."""
         now_s = trio.current_time()
         return await self.managers[name].acquire(SERVICE, (), now_s)
 
     def send(self, name: str, permit: Permit) -> bool:
-        """Run a call at the worker."""
+        """Run a call at the worker; return whether it accepts the call."""
         call_id = CallId(f'{name}/{permit.serial}')
         return self.agent.worker.accept(call_id, permit, EntryId(name))
 
@@ -123,7 +123,7 @@
         capacity_manager = CapacityManager(
             _identity(name),
             CapacitySettings(),
-            make_wallet(),
+            make_permit_pool(),
             allocator=CapacityAllocator(),
             agent_of=lambda _worker_id: self.agent,  # type: ignore[arg-type, return-value]
             peers=lambda: peers,
@@ -158,7 +158,7 @@
 
 
 class LendingTests(unittest.TestCase):
-    """Guards against lost capacity and use of a leaving worker."""
+    """Guards against lost capacity and new work for a leaving worker."""
 
     def test_nothing_before_the_fence(self) -> None:
         """Guards against lending while the worker's state is unknown."""
@@ -176,7 +176,7 @@
         _run(scenario)
 
     def test_owner_needs_no_message(self) -> None:
-        """Guards against a hop for each request at the owner."""
+        """Guards against a peer message for each request at the owner."""
 
         async def scenario() -> None:
             async with _region() as region:
@@ -188,7 +188,7 @@
         _run(scenario)
 
     def test_used_grants_are_renewed_and_idle_ones_returned(self) -> None:
-        """Guards against expiry in use and against hoarded slots."""
+        """Guards against grants that expire in use, and hoarded slots."""
 
         async def scenario() -> None:
             async with _region() as region:
@@ -199,7 +199,7 @@
                     assert permit is not None
                     await trio.sleep(1)
                     permit_pool.put_back(permit, trio.current_time())
-                # One slot was in use of late and two are kept in reserve.
+                # One slot was used recently and two are kept in reserve.
                 self.assertEqual(ledger.free_slots_count, 5)
                 await trio.sleep(6)
                 self.assertEqual(ledger.free_slots_count, 8)
@@ -208,13 +208,13 @@
         _run(scenario)
 
     def test_cut_borrower_is_revoked_at_the_worker(self) -> None:
-        """Guards against slots lost with a borrower, or used twice."""
+        """Guards against slots that are lost with a borrower or used twice."""
 
         async def scenario() -> None:
             async with _region() as region:
                 permit = await region.acquire('e2')
                 assert permit is not None
-                region.is_cut = True
+                region.is_partitioned = True
                 await trio.sleep(6)
                 self.assertIsNone(await region.acquire('e2'))
                 self.assertFalse(region.send('e2', permit))
@@ -232,9 +232,9 @@
                 assert permit is not None
                 self.assertTrue(region.send('e2', permit))
                 await trio.sleep(3)
-                region.is_cut = True
+                region.is_partitioned = True
                 await trio.sleep(1.2)
-                region.is_cut = False
+                region.is_partitioned = False
                 await trio.sleep(6)
                 ledger = region.managers['e1'].allocator.ledgers[_WORKER_ID]
                 self.assertEqual(ledger.free_slots_count, 7)
@@ -242,7 +242,7 @@
         _run(scenario)
 
     def test_grant_ends_no_later_at_the_borrower(self) -> None:
-        """Guards against an expiry counted from the answer's arrival."""
+        """Guards against an expiry that counts from the reply's arrival."""
 
         async def scenario() -> None:
             async with _region() as region:
@@ -255,14 +255,14 @@
         _run(scenario)
 
     def test_call_of_a_cut_borrower_keeps_its_slot(self) -> None:
-        """Guards against lending a slot whose call still runs."""
+        """Guards against lending a slot whose call is still running."""
 
         async def scenario() -> None:
             async with _region() as region:
                 permit = await region.acquire('e2')
                 assert permit is not None
                 self.assertTrue(region.send('e2', permit))
-                region.is_cut = True
+                region.is_partitioned = True
                 await trio.sleep(6)
                 ledger = region.managers['e1'].allocator.ledgers[_WORKER_ID]
                 self.assertEqual(ledger.free_slots_count, 7)
@@ -273,11 +273,11 @@
         """Guards against new work for a worker in state leaving (R7)."""
 
         async def scenario() -> None:
-            for is_cut in (False, True):
+            for is_partitioned in (False, True):
                 async with _region() as region:
-                    await self._both_hold_permits(region)
+                    await self._acquire_on_both_entries(region)
                     region.agent.leaving = True
-                    region.is_cut = is_cut
+                    region.is_partitioned = is_partitioned
                     await trio.sleep(3)
                     self.assertIsNone(await region.acquire('e1'))
                     self.assertIsNone(await region.acquire('e2'))
@@ -285,11 +285,11 @@
         _run(scenario)
 
     def test_borrower_is_told_at_once(self) -> None:
-        """Guards against a departure told only with the next summary."""
+        """Guards against borrowers that learn of it by the next summary."""
 
         async def scenario() -> None:
             async with _region() as region:
-                await self._both_hold_permits(region)
+                await self._acquire_on_both_entries(region)
                 region.agent.leaving = True
                 await trio.sleep(1)
                 self.assertIsNone(await region.acquire('e2'))
@@ -301,7 +301,7 @@
 
         async def scenario() -> None:
             async with _region() as region:
-                await self._both_hold_permits(region)
+                await self._acquire_on_both_entries(region)
                 region.agent.is_reachable = False
                 await trio.sleep(3)
                 self.assertIsNone(await region.acquire('e1'))
@@ -337,7 +337,7 @@
         _run(scenario)
 
     def test_restarted_borrower_waits_for_its_predecessor(self) -> None:
-        """Guards against two sessions where one was counted."""
+        """Guards against two sessions where only one is counted."""
 
         async def scenario() -> None:
             async with _region() as region:
@@ -372,7 +372,7 @@
         _run(scenario)
 
     def test_returning_worker_needs_a_new_epoch(self) -> None:
-        """Guards against a second ledger that repeats grant ids."""
+        """Guards against a second ledger that issues the same grant ids."""
 
         async def scenario() -> None:
             async with _region() as region:
@@ -393,7 +393,7 @@
 
         _run(scenario)
 
-    async def _both_hold_permits(self, region: _Region) -> None:
+    async def _acquire_on_both_entries(self, region: _Region) -> None:
         for name in ('e1', 'e2'):
             self.assertIsNotNone(await region.acquire(name))
 
--- a/tests/contracts/test_lending_model.py
+++ b/tests/contracts/test_lending_model.py
@@ -1,4 +1,4 @@
-"""R1 for slots and connections, under every order of events tried."""
+"""Model test that no order of events overloads a worker (rule R1)."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class _FreesExpired(WorkerLedger):
-    """Frees an expired grant without a revocation at the worker."""
+    """Frees an expired grant without revoking it at the worker."""
 
     def start_revocations(self, now_s: float) -> list[GrantId]:
         self.record_revocations(super().start_revocations(now_s), ())
@@ -34,7 +34,7 @@
 
 
 class _ForgetsRunningCalls(WorkerLedger):
-    """Frees a revoked grant whole, though some of its calls run on."""
+    """Frees all slots of a revoked grant, though some calls still run."""
 
     def _count_orphaned_calls(self, running: Iterable[RunningCall]) -> None:
         super()._count_orphaned_calls(())
@@ -61,7 +61,7 @@
 class _FewConnections(LendingMachine):
     """A worker whose connections are used up before its slots."""
 
-    worker_values = FEW_CONNECTIONS
+    worker_spec = FEW_CONNECTIONS
 
 
 class LendingModelTests(unittest.TestCase):
@@ -76,13 +76,13 @@
         run_state_machine_as_test(_FewConnections, settings=_SETTINGS)
 
     def test_broken_slot_ledgers_are_caught(self) -> None:
-        """Guards against a model that would miss a broken protocol."""
+        """Guards against a model that does not detect a broken protocol."""
         for broken in (_FreesExpired, _ForgetsRunningCalls, _LendsBeforeFence):
             with self.subTest(broken=broken.__name__):
                 self._is_caught(broken, LendingMachine)
 
     def test_broken_session_ledger_is_caught(self) -> None:
-        """Guards against a model that would miss an early free session."""
+        """Guards against a model that does not detect early free sessions."""
         self._is_caught(_FreesSessionsEarly, _FewConnections)
 
     def _is_caught(
--- a/tests/contracts/test_note_api.py
+++ b/tests/contracts/test_note_api.py
@@ -1,4 +1,4 @@
-"""The HTTP endpoints for release notes."""
+"""Tests of the HTTP endpoints for release notes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     """Guards against answers from which an operator can't tell the outcome."""
 
     def setUp(self) -> None:
-        """Serve a keeper on an empty store."""
+        """Serve a note registry on an empty store."""
         self.store = MemoryStore()
         registry = NoteRegistry(
             self.store,
@@ -41,7 +41,7 @@
         self.client = app.test_client()
 
     def test_token_is_needed(self) -> None:
-        """Guards against notes from anyone, and against a crash on bytes."""
+        """Guards against unauthorised notes, and a crash on non-ASCII."""
 
         async def check() -> None:
             for header in ({}, {'Authorization': 'Bearer no\u00e9'}):
@@ -53,7 +53,7 @@
         _run(check)
 
     def test_accepted_note_is_current_and_in_history(self) -> None:
-        """Guards against an acceptance that is not shown."""
+        """Guards against an accepted note that the endpoints don't show."""
 
         async def check() -> None:
             note = note_of('"limits": {"team_count": 100}')
@@ -71,7 +71,7 @@
         _run(check)
 
     def test_conflict_names_note_author_and_fields(self) -> None:
-        """Guards against a refusal that leaves the operator guessing."""
+        """Guards against a refusal that doesn't say what conflicts."""
 
         async def check() -> None:
             for note_id in ('n-1', 'n-2'):
@@ -92,7 +92,7 @@
         _run(check)
 
     def test_bad_bodies_are_refused(self) -> None:
-        """Guards against large or malformed bodies reaching the keeper."""
+        """Guards against large or malformed bodies reaching the registry."""
 
         async def check() -> None:
             for body, expected in (
@@ -107,7 +107,7 @@
         _run(check)
 
     def test_outage_has_a_retry_time(self) -> None:
-        """Guards against an outage that is answered like a bad note."""
+        """Guards against a store outage that is answered like a bad note."""
 
         async def check() -> None:
             self.store.is_down = True
--- a/tests/contracts/test_note_following.py
+++ b/tests/contracts/test_note_following.py
@@ -1,4 +1,4 @@
-"""How keepers follow the head: cuts, restarts and sizes."""
+"""Tests of how registries follow the head: outages, restarts and sizes."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 
 
 def setUpModule() -> None:  # noqa: N802
-    """Keep the expected warnings out of the output of the suite."""
+    """Suppress the expected warnings in the output of the tests."""
     quiet_logs()
 
 
-class _CutStore(MemoryStore):
-    """Ends each watch after a second and reports an old head once more."""
+class _EndingWatchStore(MemoryStore):
+    """Ends each watch after a second; first repeats an old head, if set."""
 
     old: StoredValue | None = None
 
@@ -51,10 +51,10 @@
         *,
         from_revision: int,
     ) -> AsyncIterator[AsyncIterator[WatchBatch]]:
-        """Fail after the old head."""
-        yield self._cut()
+        """Report the old head, if set, and fail."""
+        yield self._report_and_fail()
 
-    async def _cut(self) -> AsyncIterator[WatchBatch]:
+    async def _report_and_fail(self) -> AsyncIterator[WatchBatch]:
         await trio.sleep(1)
         if self.old is not None:
             events = (StoreEvent(self.old.key, self.old),)
@@ -63,7 +63,7 @@
 
 
 class _SilentStore(MemoryStore):
-    """Has watches that report nothing."""
+    """A store whose watches report nothing."""
 
     @asynccontextmanager
     async def watch(
@@ -72,7 +72,7 @@
         *,
         from_revision: int,
     ) -> AsyncIterator[AsyncIterator[WatchBatch]]:
-        """Follow a prefix that doesn't change."""
+        """Watch a prefix that never changes."""
         async with super().watch('/none', from_revision=0) as batches:
             yield batches
 
@@ -99,10 +99,10 @@
 
 
 class SizeTests(unittest.TestCase):
-    """Guards against a configuration that outgrows a value of the store."""
+    """Guards against a configuration that exceeds a value of the store."""
 
     def test_target_fits_in_one_value(self) -> None:
-        """Guards against refused notes at the two-year target."""
+        """Guards against refusing notes at the size of the two-year target."""
 
         async def check() -> None:
             store = MemoryStore()
@@ -129,26 +129,26 @@
 
 
 class FollowTests(unittest.TestCase):
-    """Guards against entries that miss a note or go back."""
+    """Guards against entries that miss a note or revert to an older one."""
 
     def test_note_reaches_entries_within_the_bound(self) -> None:
         """Guards against a watch that is not resumed after an outage."""
 
         async def check() -> None:
             state = KeyValueState()
-            cut = _CutStore(state)
-            registry = registry_on(cut, 'entry-2')
+            store = _EndingWatchStore(state)
+            registry = registry_on(store, 'entry-2')
             seen: list[ActiveConfiguration] = []
             registry.add_listener(seen.append)
             registry.add_listener(lambda _now: self.fail('listener fault'))
             async with trio.open_nursery() as nursery:
                 await nursery.start(registry.run)
                 await registry_on(MemoryStore(state)).accept(admit('w'))
-                cut.old = state.stored['/note/head']
-                cut.is_down = True
+                store.old = state.stored['/note/head']
+                store.is_down = True
                 await registry_on(MemoryStore(state)).accept(admit('x'))
                 await trio.sleep(60)
-                cut.is_down = False
+                store.is_down = False
                 await trio.sleep(11)
                 self.assertEqual(registry.current.revision, 2)
                 await trio.sleep(60)
@@ -160,7 +160,7 @@
         run_test(check)
 
     def test_restarted_entry_waits_for_the_hinted_revision(self) -> None:
-        """Guards against a stale read after a restart."""
+        """Guards against applying a stale read after a restart."""
 
         async def check() -> None:
             store = MemoryStore()
@@ -179,7 +179,7 @@
         run_test(check)
 
     def test_watch_reports_between_checks(self) -> None:
-        """Guards against a keeper that relies on the periodic check."""
+        """Guards against a registry that relies on periodic polling."""
 
         async def check() -> None:
             store = MemoryStore()
@@ -199,8 +199,8 @@
 
         async def check() -> None:
             state = KeyValueState()
-            silent = _SilentStore(state)
-            registry = registry_on(silent, 'entry-2')
+            silent_store = _SilentStore(state)
+            registry = registry_on(silent_store, 'entry-2')
             async with trio.open_nursery() as nursery:
                 await nursery.start(registry.run)
                 await registry_on(MemoryStore(state)).accept(admit('w'))
@@ -242,7 +242,7 @@
                 self.assertIs(registry.current, before)
 
     def test_history_is_newest_first(self) -> None:
-        """Guards against a history that misses a note or reads them all."""
+        """Guards against a history that misses a note or exceeds its limit."""
 
         async def check() -> None:
             store = MemoryStore()
--- a/tests/contracts/test_note_registry.py
+++ b/tests/contracts/test_note_registry.py
@@ -1,4 +1,4 @@
-"""The keeper of release notes: races, lost answers and outages."""
+"""Tests of the note registry: races, lost answers and outages."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
 
 
 def setUpModule() -> None:  # noqa: N802
-    """Keep the expected warnings out of the output of the suite."""
+    """Suppress the expected warnings in the output of the tests."""
     quiet_logs()
 
 
 class _LateStore(MemoryStore):
-    """Loses the answer of a commit before the commit is applied."""
+    """Loses the answers of commits and does not apply them."""
 
     is_losing = False
 
     async def commit(self, *args: Any, **options: Any) -> Any:
-        """Apply nothing and lose the answer."""
+        """Apply nothing and lose the answer, while ``is_losing`` is set."""
         if self.is_losing:
             self.answers_to_lose += 1
             args = ([], [])
@@ -65,7 +65,7 @@
 
 
 class _StaleStore(MemoryStore):
-    """Answers the next reads from an older state, one for each listed key."""
+    """Answers the next read of each listed key with an older value."""
 
     def __init__(self, state: KeyValueState) -> None:
         """Start without stale answers."""
@@ -73,13 +73,13 @@
         self.stale: dict[str, StoredValue | None] = {}
 
     async def read(self, key: str, *, urgency: Urgency) -> StoredValue | None:
-        """Return the older value once."""
+        """Return the older value of a listed key once."""
         fresh = await super().read(key, urgency=urgency)
         return self.stale.pop(key, fresh)
 
 
 class RaceTests(unittest.TestCase):
-    """Guards against notes of racing operators that overwrite each other."""
+    """Guards against concurrent notes that overwrite each other."""
 
     def setUp(self) -> None:
         """Share one state between the stores of four entries."""
@@ -108,7 +108,7 @@
         run_test(check)
 
     def test_conflicting_notes_name_the_fields(self) -> None:
-        """Guards against two winners and against an unexplained refusal."""
+        """Guards against accepting both, and an unexplained refusal."""
 
         async def check() -> None:
             registries = [registry_on(store) for store in self.stores]
@@ -138,7 +138,7 @@
         run_test(check)
 
     def test_same_note_is_accepted_once(self) -> None:
-        """Guards against a note that is applied for each submission."""
+        """Guards against applying a note again for each submission."""
 
         async def check() -> None:
             registries = [registry_on(store) for store in self.stores]
@@ -154,7 +154,7 @@
         run_test(check)
 
     def test_unbased_note_is_compared_after_losing_a_race(self) -> None:
-        """Guards against taking the racing note's head as the base."""
+        """Guards against using the concurrent note's head as the base."""
 
         async def check() -> None:
             registries = [registry_on(store) for store in self.stores[:2]]
@@ -180,7 +180,7 @@
     """Guards against wrong answers when the store fails."""
 
     def test_stale_head_is_not_a_reason_to_refuse(self) -> None:
-        """Guards against a refusal that rests on an older configuration."""
+        """Guards against a refusal because of an outdated configuration."""
 
         async def check() -> None:
             store = _StaleStore(KeyValueState())
@@ -225,7 +225,7 @@
         run_test(check)
 
     def test_lost_answer_is_settled_by_reading(self) -> None:
-        """Guards against a second application after a lost answer."""
+        """Guards against applying a note twice after a lost answer."""
 
         async def check() -> None:
             store = MemoryStore()
@@ -265,7 +265,7 @@
         run_test(check)
 
     def test_base_that_does_not_exist_is_refused(self) -> None:
-        """Guards against a note for another deployment."""
+        """Guards against accepting a note meant for another deployment."""
 
         async def check() -> None:
             answer = await registry_on(MemoryStore()).accept(
--- a/tests/contracts/test_ownership.py
+++ b/tests/contracts/test_ownership.py
@@ -1,4 +1,4 @@
-"""Ownership: one owner for each epoch, through outages and lost answers."""
+"""Tests of ownership: one owner for each epoch, despite store failures."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
             self.assertEqual(preferred_entry(shard, self.members), _E1)
 
     def test_epoch_grows_when_the_owner_is_gone(self) -> None:
-        """Guards against an epoch that two owners have in common."""
+        """Guards against two owners with the same epoch."""
         self._refresh(self.own1, self.own2)
         self.assertFalse(self.own2.owned)
         self.members.clear()
@@ -54,7 +54,7 @@
         self.assertFalse(self.own1.owned)
 
     def test_restart_takes_a_new_epoch(self) -> None:
-        """Guards against grant ids that are used again after a restart."""
+        """Guards against grant ids that are reused after a restart."""
         self._refresh(self.own1)
         self.members[_E1] = Incarnation('a2')
         again = self._ownership(self.store1, _E1, 'a2')
@@ -69,9 +69,9 @@
         self.assertEqual(self.store1.writes_count, 8)
 
     def test_hand_over_in_an_outage_is_not_final(self) -> None:
-        """Guards against a shard that its record's owner no longer serves.
+        """Guards against a shard that the entry in its record doesn't serve.
 
-        No other entry takes it, since the record names a live entry.
+        No other entry takes the shard, since the record names a live entry.
         """
         self._refresh(self.own1)
         moved = next(
@@ -102,7 +102,7 @@
             self.assertEqual(len(self.own2.owned), expected_count)
 
     def test_outage_keeps_shards_and_return_rereads(self) -> None:
-        """Guards against a loss of all capacity during an outage."""
+        """Guards against losing all shards during an outage of the store."""
         self._refresh(self.own1)
         self.store1.is_down = True
         self._refresh(self.own1)
@@ -125,7 +125,7 @@
         self.assertEqual(self.store1.writes_count, 8)
 
     def test_unread_lost_answer_is_taken_again(self) -> None:
-        """Guards against use of a shard under an epoch that is not known."""
+        """Guards against using a shard under an epoch that was not read."""
         commit = self.store1.commit
 
         async def lose_and_go_down(*args: Any, **options: Any) -> Any:
@@ -145,7 +145,7 @@
         self.assertEqual(self.own1.owned[ShardId(1)], 1)
 
     def test_stale_reader_loses_the_swap(self) -> None:
-        """Guards against a write that overwrites a successor's record."""
+        """Guards against overwriting the record of a successor."""
         self._refresh(self.own1)
         stale = dict(self.members)
         self.members.clear()
@@ -166,7 +166,7 @@
         self.assertEqual(self.own2.owned[ShardId(3)], 2)
 
     def test_misplaced_shards_move_to_a_new_entry(self) -> None:
-        """Guards against a first entry that keeps all shards for ever."""
+        """Guards against a first entry that never hands shards over."""
         self._refresh(self.own1)
         self.assertEqual(self.own1.misplaced(), [])
         self.members[_E2] = Incarnation('b')
@@ -178,7 +178,7 @@
         self.assertEqual(set(self.own2.owned), set(misplaced))
 
     def test_advance_only_grows_the_epoch_of_the_owner(self) -> None:
-        """Guards against an epoch that a former owner moves."""
+        """Guards against a former owner that advances the epoch."""
         self._refresh(self.own1)
         self.assertTrue(trio.run(self.own1.advance_epoch, ShardId(1)))
         self.assertEqual(self.own1.owned[ShardId(1)], 2)
--- a/tests/contracts/test_release_note.py
+++ b/tests/contracts/test_release_note.py
@@ -1,4 +1,4 @@
-"""Release notes: parsing, fields that two notes share, and application."""
+"""Tests of release notes: parsing, shared fields and application."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ParseTests(unittest.TestCase):
-    """Guards against errors that don't say where the fault is."""
+    """Guards against errors that don't say where the mistake is."""
 
     def test_range_error_has_line_field_and_range(self) -> None:
         """Guards against a weight out of range, and a message without line."""
@@ -24,7 +24,7 @@
         )
 
     def test_error_in_a_list_has_its_line(self) -> None:
-        """Guards against a line of the list instead of the element."""
+        """Guards against the line of the list instead of the element."""
         self._refused(
             '"instances": {"admitted": [\n"a", // {"\n"b c"]}',
             r':7: \$\.instances\.admitted\[1\]',
@@ -49,7 +49,7 @@
 
 
 class SharedFieldsTests(unittest.TestCase):
-    """Guards against conflicts that are missed or seen without cause."""
+    """Guards against conflicts that are missed or reported without cause."""
 
     def test_other_fields_of_one_service_are_disjoint(self) -> None:
         """Guards against refusing operators who change different fields."""
@@ -84,7 +84,7 @@
         )
 
     def test_change_keeps_other_fields(self) -> None:
-        """Guards against a partial change that resets the rest."""
+        """Guards against a partial change that resets the other fields."""
         after = apply_note(
             self.before,
             note_of(
