--- a/src/marjoramwharf/contracts/configuration.py
+++ b/src/marjoramwharf/contracts/configuration.py
@@ -58,7 +58,7 @@
 
 
 class IncompatibleNote(BadNote):
-    """A note can't be applied to the configuration; lists all problems."""
+    """A note that can't be applied to the configuration, with all problems."""
 
     def __init__(self, problems: Sequence[Problem]) -> None:
         """Store the problems; the message lists them."""
