--- a/tests/contracts/lending_model.py
+++ b/tests/contracts/lending_model.py
@@ -244,7 +244,7 @@
             self.pools[sent.sender].put_back(sent.permit, self.now_s)
 
     @precondition(lambda machine: machine.worker.running)
-    @rule(pick=_PICK, release_in_doubt=st.booleans())
+    @rule(pick=_PICK, settled=st.booleans())
     def finish(self, pick: int, settled: bool) -> None:
         """End one call or all, and perhaps tell the borrowers."""
         names = list(self.worker.running)
