--- a/src/marjoramwharf/contracts/_note_records.py
+++ b/src/marjoramwharf/contracts/_note_records.py
@@ -78,7 +78,7 @@
         return json.decode(stored.body, type=model)
     except MsgspecError as failure:
         raise StoreUnavailable(
-            message=f'the record {stored.key} can not be decoded: {failure}',
+            message=f"{stored.key} has a body that can't be decoded: {failure}",
         ) from failure
 
 
--- a/src/marjoramwharf/contracts/note_registry.py
+++ b/src/marjoramwharf/contracts/note_registry.py
@@ -167,10 +167,7 @@
         if not self.is_synchronised:
             await self._read_head()
         if based_on is None and not self.is_synchronised:
-            return not_accepted(
-                note,
-                'the head record of the release notes was not read yet',
-            )
+            return not_accepted(note, 'the head was not read yet')
         if based_on is None:
             based_on = self.current.revision
         return await self._acceptor.accept(note, based_on)
