--- a/src/marjoramwharf/cells/cell.py
+++ b/src/marjoramwharf/cells/cell.py
@@ -27,6 +27,7 @@
 from marjoramwharf.ids import JobId, TaskId, WorkerId
 from marjoramwharf.links.follower import Follower
 from marjoramwharf.logs import part_logger
+from marjoramwharf.scheduling.fleet import WorkerState
 from marjoramwharf.scheduling.interference import InterferenceModel
 from marjoramwharf.scheduling.job_book import JobBook, job_of
 from marjoramwharf.scheduling.job_state import (
@@ -36,7 +37,6 @@
     RunEnd,
     RunPhase,
 )
-from marjoramwharf.scheduling.fleet import WorkerState
 from marjoramwharf.scheduling.ordering import queue_of
 from marjoramwharf.scheduling.planner import Planner
 from marjoramwharf.scheduling.policy import QueuePolicy
--- a/src/marjoramwharf/contracts/desk.py
+++ b/src/marjoramwharf/contracts/allocator.py
@@ -1,7 +1,8 @@
-"""Answers of a capacity owner to borrowers and to job owners.
+"""Allocation of the owned workers' capacity to borrowers and job owners.
 
-The desk holds the ledgers of the owned workers. It does no I/O; the present
-time in monotonic seconds is an argument.
+The allocator keeps one ledger for each owned worker. It lends slots in grants
+and reserves processors, memory and accelerators for task attempts. It does no
+I/O; callers pass the present time in monotonic seconds.
 """
 
 from __future__ import annotations
@@ -11,24 +12,24 @@
 from dataclasses import dataclass
 from typing import TypeAlias
 
-from marjoramwharf.contracts.ledger import WorkerLedger, worker_of
+from marjoramwharf.contracts.ledger import WorkerLedger, worker_id_of
 from marjoramwharf.contracts.permits import Grant, GrantShare
 from marjoramwharf.contracts.reservations import AttemptKey, Fence
 from marjoramwharf.errors import PeerRefused
 from marjoramwharf.ids import EntryId, GrantId, Incarnation, TaskId, WorkerId
 from marjoramwharf.machines.calls import Demand
 
-# Workers that one request for any slots is spread over.
-_SPREAD_COUNT = 8
+# Most workers that one request for any slots is spread over.
+_MAX_SPREAD_COUNT = 8
 
-_SEPARATOR = '@'
-# Bounds the text of the epoch and the attempt before they are parsed.
-_FENCE_DIGITS = 40
+_ID_SEPARATOR = '@'
+# Bounds the text of epoch and attempt, sent by peers, before it is parsed.
+_MAX_FENCE_LENGTH = 40
 
 
 @dataclass(frozen=True, slots=True)
-class Placement:
-    """What a job owner asks for when it reserves.
+class AttemptRequest:
+    """A job owner's request to reserve capacity for a task attempt.
 
     ``fence`` is the epoch of the job shard and the number of the attempt.
     ``declared`` is the size that the team stated, ``demand`` the size to
@@ -47,55 +48,59 @@
 
 Ledgers: TypeAlias = Mapping[WorkerId, WorkerLedger]
 Chooser: TypeAlias = Callable[
-    [Ledgers, Placement, float],
+    [Ledgers, AttemptRequest, float],
     WorkerLedger | None,
 ]
 
 
 def _ignore(_worker_id: WorkerId, _attempt: AttemptKey) -> None:
-    """Do nothing; the default where nobody follows the releases."""
+    """Do nothing; the default callback for released reservations."""
 
 
 def choose_most_free(
     ledgers: Ledgers,
-    placement: Placement,
+    request: AttemptRequest,
     now_s: float,
 ) -> WorkerLedger | None:
-    """Return the ledger with most free processors; looks at all of them."""
+    """Return the fitting ledger with most free processors; scan them all."""
     return max(
-        (one for one in ledgers.values() if has_room(one, placement, now_s)),
+        (
+            candidate
+            for candidate in ledgers.values()
+            if has_capacity(candidate, request, now_s)
+        ),
         key=lambda ledger: ledger.reservations.free.cpu_millicores,
         default=None,
     )
 
 
-def has_room(
+def has_capacity(
     ledger: WorkerLedger,
-    placement: Placement,
+    request: AttemptRequest,
     now_s: float,
 ) -> bool:
-    """Tell whether a worker may take a task attempt now."""
+    """Tell whether a worker has capacity for a task attempt now."""
     worker = ledger.worker
     return (
-        ledger.is_current(now_s)
-        and worker.rack not in placement.avoid_racks
-        and worker.worker_id not in placement.avoid_workers
-        and ledger.reservations.has_room(placement.demand)
+        ledger.accepts_work(now_s)
+        and worker.rack not in request.avoid_racks
+        and worker.worker_id not in request.avoid_workers
+        and ledger.reservations.has_capacity(request.demand)
     )
 
 
-class OwnerDesk:
-    """The ledgers of the owned workers.
+class CapacityAllocator:
+    """Allocates the capacity of the owned workers from their ledgers.
 
-    ``choose`` picks a ledger for a task, ``None`` if it finds none.
+    ``choose`` selects the ledger for a task attempt, or returns ``None``.
     """
 
     def __init__(self, choose: Chooser = choose_most_free) -> None:
         """Start without workers."""
         self.ledgers: dict[WorkerId, WorkerLedger] = {}
         self.choose = choose
-        # A repeat of Reserve must return the same worker.
-        self._placed: dict[AttemptKey, tuple[WorkerId, Placement]] = {}
+        # A repeated Reserve message must return the same worker.
+        self._placed: dict[AttemptKey, tuple[WorkerId, AttemptRequest]] = {}
         self.on_released: Callable[[WorkerId, AttemptKey], None] = _ignore
 
     def lend(
@@ -105,11 +110,11 @@
         wants: Sequence[tuple[WorkerId, int]],
         now_s: float,
     ) -> list[Grant]:
-        """Lend slots of named workers, as far as they are free."""
+        """Lend slots of the named workers, as many as are free."""
         grants = []
         for worker_id, slots_count in wants:
             ledger = self.ledgers.get(worker_id)
-            if ledger is None or not ledger.is_current(now_s):
+            if ledger is None or not ledger.accepts_work(now_s):
                 continue
             lent = ledger.lend(
                 borrower,
@@ -128,7 +133,7 @@
         *,
         excluded: Collection[WorkerId] = (),
     ) -> list[tuple[WorkerId, int]]:
-        """Divide a request for any slots over the workers with most free.
+        """Divide a request for any slots among the workers with most free.
 
         At most half of a worker's free slots go to one request, so that one
         borrower does not take all of a worker.
@@ -137,12 +142,12 @@
             (worker_id, ledger.free_slots_count)
             for worker_id, ledger in self.ledgers.items()
             if service in ledger.worker.services
-            and ledger.is_current(now_s)
+            and ledger.accepts_work(now_s)
             and worker_id not in excluded
         ]
         free.sort(key=operator.itemgetter(1), reverse=True)
         wants = []
-        for worker_id, free_count in free[:_SPREAD_COUNT]:
+        for worker_id, free_count in free[:_MAX_SPREAD_COUNT]:
             count = min(slots_count, (free_count + 1) // 2)
             if count > 0:
                 wants.append((worker_id, count))
@@ -155,13 +160,13 @@
         grant_ids: Sequence[GrantId],
         now_s: float,
     ) -> tuple[list[Grant], list[GrantId]]:
-        """Renew grants; the second list names those refused."""
+        """Renew grants; return the renewed grants and the refused ids."""
         renewed: list[Grant] = []
         refused: list[GrantId] = []
         for grant_id in grant_ids:
-            ledger = self.ledgers.get(worker_of(grant_id))
+            ledger = self.ledgers.get(worker_id_of(grant_id))
             outcome = None
-            if ledger is not None and ledger.is_current(now_s):
+            if ledger is not None and ledger.accepts_work(now_s):
                 outcome = ledger.renew(borrower, grant_id)
             if isinstance(outcome, Grant):
                 renewed.append(outcome)
@@ -174,42 +179,43 @@
         borrower: EntryId,
         shares: Sequence[GrantShare],
     ) -> None:
-        """Free returned slots."""
+        """Free the slots that a borrower returns."""
         for share in shares:
-            ledger = self.ledgers.get(worker_of(share.grant_id))
+            ledger = self.ledgers.get(worker_id_of(share.grant_id))
             if ledger is not None:
                 ledger.give_back(borrower, share.grant_id, share.slots_count)
 
-    def reserve(self, placement: Placement, now_s: float) -> WorkerLedger:
-        """Reserve for a task attempt; a repeat returns the same worker.
+    def reserve(self, request: AttemptRequest, now_s: float) -> WorkerLedger:
+        """Reserve capacity for a task attempt on one worker.
 
-        Raises ``PeerRefused`` if the task fits on no owned worker.
+        A repeated request returns the same worker. Raises ``PeerRefused`` if
+        the task fits on no owned worker.
         """
-        attempt = (placement.task_id, placement.fence)
-        holder = self._holder_of(attempt)
+        attempt = (request.task_id, request.fence)
+        holder = self._ledger_holding(attempt)
         if holder is not None:
             return holder
-        chosen = self.choose(self.ledgers, placement, now_s)
-        if chosen is None or not has_room(chosen, placement, now_s):
-            raise PeerRefused(message='no worker has room', retry_after_s=1)
-        chosen.reservations.reserve(*attempt, placement.demand, now_s)
-        self._placed[attempt] = (chosen.worker.worker_id, placement)
+        chosen = self.choose(self.ledgers, request, now_s)
+        if chosen is None or not has_capacity(chosen, request, now_s):
+            raise PeerRefused(message='no worker has capacity', retry_after_s=1)
+        chosen.reservations.reserve(*attempt, request.demand, now_s)
+        self._placed[attempt] = (chosen.worker.worker_id, request)
         return chosen
 
     def release(self, reservation: str) -> None:
-        """End a reservation whose attempt the worker has ended."""
-        fence, _, rest = reservation.partition(_SEPARATOR)
-        task_id, _, worker_id = rest.partition(_SEPARATOR)
+        """Release a reservation whose attempt has ended; ignore a bad id."""
+        fence, _, task_and_worker = reservation.partition(_ID_SEPARATOR)
+        task_id, _, worker_id = task_and_worker.partition(_ID_SEPARATOR)
         epoch, _, number = fence.partition('.')
         is_fence = epoch.isdecimal() and number.isdecimal()
-        if is_fence and len(fence) <= _FENCE_DIGITS:
+        if is_fence and len(fence) <= _MAX_FENCE_LENGTH:
             self.release_attempt(
                 WorkerId(worker_id),
                 (TaskId(task_id), (int(epoch), int(number))),
             )
 
     def release_attempt(self, worker_id: WorkerId, attempt: AttemptKey) -> None:
-        """End the reservation of an attempt on a worker."""
+        """Release the reservation of a task attempt on a worker."""
         placed = self._placed.get(attempt)
         if placed is not None and placed[0] == worker_id:
             self._placed.pop(attempt)
@@ -219,17 +225,17 @@
             self.on_released(worker_id, attempt)
 
     def forget_ended(self) -> None:
-        """Forget where attempts were reserved that no ledger holds."""
+        """Drop the requests of attempts that no ledger holds any longer."""
         for attempt in tuple(self._placed):
-            if self._holder_of(attempt) is None:
+            if self._ledger_holding(attempt) is None:
                 self._placed.pop(attempt)
 
-    def placement_of(self, attempt: AttemptKey) -> Placement | None:
-        """Return what was asked for an attempt that is reserved here."""
+    def request_of(self, attempt: AttemptKey) -> AttemptRequest | None:
+        """Return the request of an attempt that is reserved here."""
         placed = self._placed.get(attempt)
         return None if placed is None else placed[1]
 
-    def _holder_of(self, attempt: AttemptKey) -> WorkerLedger | None:
+    def _ledger_holding(self, attempt: AttemptKey) -> WorkerLedger | None:
         placed = self._placed.get(attempt)
         ledger = None if placed is None else self.ledgers.get(placed[0])
         if ledger is None or not ledger.reservations.holds(*attempt):
@@ -237,8 +243,8 @@
         return ledger
 
 
-def reservation_id(placement: Placement, worker_id: WorkerId) -> str:
-    """Return the id that ``release`` takes; ids of tasks have no ``@``."""
-    epoch, number = placement.fence
-    parts = (f'{epoch}.{number}', placement.task_id, worker_id)
-    return _SEPARATOR.join(parts)
+def reservation_id(request: AttemptRequest, worker_id: WorkerId) -> str:
+    """Return the id that ``release`` takes; task ids contain no ``@``."""
+    epoch, number = request.fence
+    parts = (f'{epoch}.{number}', request.task_id, worker_id)
+    return _ID_SEPARATOR.join(parts)
--- a/src/marjoramwharf/contracts/peer_desk.py
+++ b/src/marjoramwharf/contracts/capacity_handlers.py
@@ -1,11 +1,15 @@
-"""The handlers of the lending messages between entries."""
+"""Handlers of the capacity messages between entries."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
+from marjoramwharf.contracts.allocator import (
+    AttemptRequest,
+    CapacityAllocator,
+    reservation_id,
+)
 from marjoramwharf.contracts.borrowing import Borrower, grant_message
-from marjoramwharf.contracts.desk import OwnerDesk, Placement, reservation_id
 from marjoramwharf.contracts.permits import GrantShare
 from marjoramwharf.ids import EntryId, GrantId, ServiceId, TaskId, WorkerId
 from marjoramwharf.links.peer_messages import Message, PeerIdentity
@@ -14,8 +18,10 @@
 from marjoramwharf.machines.calls import Demand
 
 
-def summary_message(identity: PeerIdentity, desk: OwnerDesk) -> Message:
-    """Return the message that shows the free slots of the owned workers."""
+def summary_message(
+    identity: PeerIdentity, allocator: CapacityAllocator
+) -> Message:
+    """Return the message with the free capacity of the owned workers."""
     return ttypes.Summary(
         entry_id=identity.entry_id,
         incarnation=identity.incarnation,
@@ -27,17 +33,17 @@
                 service_latency_ms=0,
                 interference_ratio=1,
             )
-            for worker_id, ledger in desk.ledgers.items()
+            for worker_id, ledger in allocator.ledgers.items()
         ],
-        free_millicores=free_millicores(desk),
+        free_millicores=free_millicores(allocator),
     )
 
 
-def free_millicores(desk: OwnerDesk) -> int:
-    """Return the processors of the usable owned workers that are free."""
+def free_millicores(allocator: CapacityAllocator) -> int:
+    """Return the free processors of the owned workers that are usable."""
     return sum(
         max(0, ledger.reservations.free.cpu_millicores)
-        for ledger in desk.ledgers.values()
+        for ledger in allocator.ledgers.values()
         if ledger.fenced and not ledger.leaving
     )
 
@@ -51,8 +57,8 @@
     )
 
 
-class PeerDesk:
-    """Answers peers from the desk, and takes their news to the borrower.
+class CapacityHandlers:
+    """Answers peers from the allocator, and passes events to the borrower.
 
     The sender is the identity that was proved in Hello, never a name that a
     message states.
@@ -60,18 +66,18 @@
 
     def __init__(
         self,
-        desk: OwnerDesk,
+        allocator: CapacityAllocator,
         borrower: Borrower,
         *,
         now: Callable[[], float],
     ) -> None:
-        """Keep the parts; ``now`` is the present in monotonic seconds."""
-        self._desk = desk
+        """Set up the handlers; ``now`` returns monotonic seconds."""
+        self._allocator = allocator
         self._borrower = borrower
         self._now = now
 
     def handlers(self) -> dict[type, Handler]:
-        """Return the table for the peer server."""
+        """Return the handler of each message type for the peer server."""
         return {
             ttypes.Borrow: self._on_borrow,
             ttypes.Renew: self._on_renew,
@@ -83,17 +89,17 @@
             ttypes.Leaving: self._on_leaving,
         }
 
-    async def _on_borrow(self, sender: PeerIdentity, asked: Message) -> Message:
+    async def _on_borrow(self, sender: PeerIdentity, call: Message) -> Message:
         now_s = self._now()
         wants = [
-            (WorkerId(want.worker_id), want.slots_count) for want in asked.wants
+            (WorkerId(want.worker_id), want.slots_count) for want in call.wants
         ]
-        wants += self._desk.spread(
-            ServiceId(asked.service_id),
-            asked.any_slots_count,
+        wants += self._allocator.spread(
+            ServiceId(call.service_id),
+            call.any_slots_count,
             now_s,
         )
-        grants = self._desk.lend(
+        grants = self._allocator.lend(
             sender.entry_id,
             sender.incarnation,
             wants,
@@ -103,11 +109,11 @@
             grants=[grant_message(grant, now_s) for grant in grants],
         )
 
-    async def _on_renew(self, sender: PeerIdentity, asked: Message) -> Message:
+    async def _on_renew(self, sender: PeerIdentity, call: Message) -> Message:
         now_s = self._now()
-        renewed, refused = self._desk.renew(
+        renewed, refused = self._allocator.renew(
             sender.entry_id,
-            list(map(GrantId, asked.grant_ids)),
+            list(map(GrantId, call.grant_ids)),
             now_s,
         )
         return ttypes.Renewed(
@@ -118,7 +124,7 @@
     async def _on_give_back(
         self,
         sender: PeerIdentity,
-        returned: Message,
+        call: Message,
     ) -> Message:
         shares = [
             GrantShare(
@@ -126,37 +132,41 @@
                 WorkerId(share.worker_id),
                 share.slots_count,
             )
-            for share in returned.shares
+            for share in call.shares
         ]
-        self._desk.give_back(sender.entry_id, shares)
+        self._allocator.give_back(sender.entry_id, shares)
         return ttypes.Ack()
 
-    async def _on_revoke(self, sender: PeerIdentity, news: Message) -> Message:
-        self._borrower.revoked(sender.entry_id, map(GrantId, news.grant_ids))
+    async def _on_revoke(self, sender: PeerIdentity, call: Message) -> Message:
+        self._borrower.drop_revoked(
+            sender.entry_id, map(GrantId, call.grant_ids)
+        )
         return ttypes.Ack()
 
-    async def _on_summary(self, sender: PeerIdentity, news: Message) -> Message:
-        self._borrower.summary_received(sender.entry_id, news)
+    async def _on_summary(self, sender: PeerIdentity, call: Message) -> Message:
+        self._borrower.record_summary(sender.entry_id, call)
         return ttypes.Ack()
 
     async def _on_reserve(
         self,
         _sender: PeerIdentity,
-        asked: Message,
+        call: Message,
     ) -> Message:
-        placement = Placement(
-            task_id=TaskId(asked.task_id),
-            fence=(asked.shard_epoch or 0, asked.attempt),
-            demand=demand_of(asked.demand),
-            task_class=asked.task_class,
-            priority=asked.priority,
-            avoid_racks=frozenset(asked.avoid_racks),
-            avoid_workers=frozenset(map(WorkerId, asked.avoid_workers or ())),
-            declared=demand_of(asked.declared or asked.demand),
+        attempt_request = AttemptRequest(
+            task_id=TaskId(call.task_id),
+            fence=(call.shard_epoch or 0, call.attempt),
+            demand=demand_of(call.demand),
+            task_class=call.task_class,
+            priority=call.priority,
+            avoid_racks=frozenset(call.avoid_racks),
+            avoid_workers=frozenset(map(WorkerId, call.avoid_workers or ())),
+            declared=demand_of(call.declared or call.demand),
         )
-        ledger = self._desk.reserve(placement, self._now())
+        ledger = self._allocator.reserve(attempt_request, self._now())
         return ttypes.Reserved(
-            reservation_id=reservation_id(placement, ledger.worker.worker_id),
+            reservation_id=reservation_id(
+                attempt_request, ledger.worker.worker_id
+            ),
             worker_id=ledger.worker.worker_id,
             worker_url=ledger.worker.url,
             epoch=ledger.epoch,
@@ -165,13 +175,13 @@
     async def _on_release(
         self,
         _sender: PeerIdentity,
-        asked: Message,
+        call: Message,
     ) -> Message:
-        self._desk.release(asked.reservation_id)
+        self._allocator.release(call.reservation_id)
         return ttypes.Ack()
 
     async def _on_leaving(
-        self, sender: PeerIdentity, _news: Message
+        self, sender: PeerIdentity, _call: Message
     ) -> Message:
-        self._borrower.peer_left(EntryId(sender.entry_id))
+        self._borrower.forget_peer(EntryId(sender.entry_id))
         return ttypes.Ack()
--- a/src/marjoramwharf/contracts/note_api.py
+++ b/src/marjoramwharf/contracts/note_api.py
@@ -22,7 +22,7 @@
     NoteConflict,
     NoteRefused,
 )
-from marjoramwharf.contracts.note_keeper import NoteKeeper
+from marjoramwharf.contracts.note_registry import NoteRegistry
 from marjoramwharf.contracts.release_note import ReleaseNote
 from marjoramwharf.errors import (
     Failure,
@@ -37,7 +37,8 @@
 
 TokenCheck: TypeAlias = Callable[[str | None], bool]
 
-# A note that admits every worker of the two-year target has about 150 KB.
+# Largest accepted body. A note that admits every worker of the two-year target
+# has about 150 KB.
 MAX_NOTE_BYTES = 524_288
 
 DEFAULT_HISTORY_COUNT = 20
@@ -50,7 +51,7 @@
 
 
 def bearer_check(token: str) -> TokenCheck:
-    """Return a check of the ``Authorization`` header, in constant time."""
+    """Return a check of the ``Authorization`` header in constant time."""
     return functools.partial(_is_bearer, f'Bearer {token}'.encode())
 
 
@@ -58,7 +59,9 @@
     return hmac.compare_digest((header or '').encode(), expected)
 
 
-def note_blueprint(keeper: NoteKeeper, is_operator: TokenCheck) -> Blueprint:
+def note_blueprint(
+    registry: NoteRegistry, is_operator: TokenCheck
+) -> Blueprint:
     """Return the endpoints below ``/v1/notes``."""
     blueprint = Blueprint('notes', __name__, url_prefix='/v1/notes')
 
@@ -69,13 +72,13 @@
         return _unauthorized()
 
     async def current() -> Response:  # noqa: WPS430
-        return json_response(HTTPStatus.OK, current_body(keeper))
+        return json_response(HTTPStatus.OK, current_body(registry))
 
     async def history() -> Response:  # noqa: WPS430
-        return await _history(keeper)
+        return await _history(registry)
 
     async def submit() -> Response:  # noqa: WPS430
-        return await _submit(keeper)
+        return await _submit(registry)
 
     blueprint.add_url_rule('/current', view_func=current)
     blueprint.add_url_rule('/history', view_func=history)
@@ -83,19 +86,19 @@
     return blueprint
 
 
-def current_body(keeper: NoteKeeper) -> dict[str, Any]:
+def current_body(registry: NoteRegistry) -> dict[str, Any]:
     """Return the configuration in force on this entry, and since when."""
-    now = keeper.current
+    active = registry.current
     return {
-        'entry': keeper.entry,
-        'revision': now.revision,
-        'since_ms': now.since_ms,
-        'is_synchronised': keeper.is_synchronised,
-        'configuration': now.configuration,
+        'entry': registry.entry,
+        'revision': active.revision,
+        'since_ms': active.since_ms,
+        'is_synchronised': registry.is_synchronised,
+        'configuration': active.configuration,
     }
 
 
-async def _history(keeper: NoteKeeper) -> Response:
+async def _history(registry: NoteRegistry) -> Response:
     limit = request.args.get('limit', str(DEFAULT_HISTORY_COUNT))
     if not limit.isdecimal() or not 1 <= int(limit) <= MAX_HISTORY_COUNT:
         return error_response(
@@ -104,13 +107,13 @@
             f'limit must be a number from 1 to {MAX_HISTORY_COUNT}',
         )
     try:
-        found = await keeper.history(limit=int(limit))
+        found = await registry.history(limit=int(limit))
     except (StoreUnavailable, StoreBudgetSpent) as failure:
-        return _storeerror_response(failure)
+        return _store_failure_response(failure)
     return json_response(HTTPStatus.OK, {'notes': found})
 
 
-async def _submit(keeper: NoteKeeper) -> Response:
+async def _submit(registry: NoteRegistry) -> Response:
     body = await read_body(MAX_NOTE_BYTES)
     if body is None:
         return error_response(
@@ -126,11 +129,11 @@
             Reason.BAD_REQUEST,
             str(failure),
         )
-    return answer_response(note, await keeper.accept(note))
+    return answer_response(note, await registry.accept(note))
 
 
 def answer_response(note: ReleaseNote, answer: Answer) -> Response:
-    """Return the response to a submitted note."""
+    """Return the HTTP response for the answer to a submitted note."""
     if isinstance(answer, Accepted):
         return json_response(
             HTTPStatus.OK,
@@ -142,7 +145,7 @@
             },
         )
     if isinstance(answer, NoteConflict):
-        return _conflict(answer)
+        return _conflict_response(answer)
     if isinstance(answer, NoteRefused):
         return error_response(
             _REFUSED_STATUS.get(answer.reason, HTTPStatus.CONFLICT),
@@ -150,10 +153,10 @@
             answer.message,
             details={'problems': answer.problems},
         )
-    return _not_settled(answer)
+    return _unsettled_response(answer)
 
 
-def _not_settled(answer: NotRun | Unknown) -> Response:
+def _unsettled_response(answer: NotRun | Unknown) -> Response:
     if isinstance(answer, Unknown):
         return error_response(
             HTTPStatus.ACCEPTED,
@@ -169,7 +172,7 @@
     )
 
 
-def _conflict(answer: NoteConflict) -> Response:
+def _conflict_response(answer: NoteConflict) -> Response:
     return error_response(
         HTTPStatus.CONFLICT,
         Reason.NOTE_CONFLICT,
@@ -185,7 +188,7 @@
     )
 
 
-def _storeerror_response(failure: Failure) -> Response:
+def _store_failure_response(failure: Failure) -> Response:
     return error_response(
         HTTPStatus.SERVICE_UNAVAILABLE,
         failure.reason,
--- a/src/marjoramwharf/programs/platform_entry.py
+++ b/src/marjoramwharf/programs/platform_entry.py
@@ -17,13 +17,13 @@
 from marjoramwharf.cells.cell_terms import CellParts, Mandate
 from marjoramwharf.cells.clocks import boot_s
 from marjoramwharf.cells.config_keeper import ConfigKeeper
+from marjoramwharf.cells.counters import CellCounters
 from marjoramwharf.cells.entry_directory import EntryDirectory
 from marjoramwharf.cells.intake import Intake
 from marjoramwharf.cells.owner_link import OwnerLink, answer_job_call
 from marjoramwharf.cells.ownership import Campaign, OwnerView, Tenure
 from marjoramwharf.cells.place import EntryPlace
 from marjoramwharf.cells.records import OWNERS_PREFIX, CellId, EntryRecord
-from marjoramwharf.cells.counters import CellCounters
 from marjoramwharf.errors import BadSettings
 from marjoramwharf.ids import Incarnation, random_id
 from marjoramwharf.links.follower import Apply, Follower
--- a/src/marjoramwharf/scheduling/placement.py
+++ b/src/marjoramwharf/scheduling/placement.py
@@ -14,9 +14,9 @@
 
 from marjoramwharf.ids import WorkerId
 from marjoramwharf.scheduling.fleet import Fleet, Worker
+from marjoramwharf.scheduling.headroom import harm_of
 from marjoramwharf.scheduling.interference import InterferenceModel
 from marjoramwharf.scheduling.job_state import Run, RunPhase, Task
-from marjoramwharf.scheduling.headroom import harm_of
 from marjoramwharf.scheduling.workload import StepRequest
 
 # Cost of a choice, in units of one whole worker in use.
--- a/src/marjoramwharf/service/_idempotent.py
+++ b/src/marjoramwharf/service/_idempotent.py
@@ -25,7 +25,6 @@
 )
 from marjoramwharf.service.retry import backoff_s, is_good
 
-
 # How often an idle slot is looked for once a hedged call is due.
 _IDLE_POLL_S = 0.05
 
--- a/tests/contracts/keepers.py
+++ b/tests/contracts/note_registries.py
@@ -1,4 +1,4 @@
-"""Keepers on an in-memory store, for tests."""
+"""Note registries on an in-memory store, for tests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import trio
 from trio.testing import MockClock
 
-from marjoramwharf.contracts.note_keeper import NoteKeeper
+from marjoramwharf.contracts.note_registry import NoteRegistry
 from marjoramwharf.contracts.release_note import ReleaseNote
 from marjoramwharf.ids import EntryId
 from marjoramwharf.logs import configure_logs
@@ -17,7 +17,7 @@
 
 
 def quiet_logs() -> None:
-    """Keep the expected warnings out of the output of the suite."""
+    """Suppress the expected warnings in the output of the tests."""
     configure_logs(as_json=False, level=logging.CRITICAL)
 
 
@@ -25,13 +25,13 @@
     return round(trio.current_time() * 1000)
 
 
-def keeper_on(
+def registry_on(
     store: MemoryStore,
     name: str = 'entry-1',
     now_ms: Callable[[], int] = _mock_now_ms,
-) -> NoteKeeper:
-    """Return a keeper with a fixed jitter."""
-    return NoteKeeper(
+) -> NoteRegistry:
+    """Return a registry with a fixed jitter."""
+    return NoteRegistry(
         store,
         entry=EntryId(name),
         now_ms=now_ms,
@@ -40,7 +40,7 @@
 
 
 def run_test(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test with a clock that jumps ahead."""
+    """Run a test with a mock clock that skips idle time."""
     trio.run(test, clock=MockClock(autojump_threshold=0))
 
 
--- a/tests/contracts/test_note_keeper.py
+++ b/tests/contracts/test_note_registry.py
@@ -1,4 +1,4 @@
-"""The keeper of release notes: races, lost answers and outages."""
+"""Tests of the note registry: races, lost answers and outages."""
 
 from __future__ import annotations
 
@@ -13,29 +13,34 @@
     NoteConflict,
     NoteRefused,
 )
-from marjoramwharf.contracts.note_keeper import NoteKeeper
+from marjoramwharf.contracts.note_registry import NoteRegistry
 from marjoramwharf.contracts.release_note import ReleaseNote
 from marjoramwharf.errors import Reason
 from marjoramwharf.links.store import StoredValue, Urgency
 from marjoramwharf.service.request import NotRun, Unknown
 from standins.kv_state import KeyValueState
 from standins.memory_store import MemoryStore
-from tests.contracts.keepers import admit, keeper_on, quiet_logs, run_test
+from tests.contracts.note_registries import (
+    admit,
+    quiet_logs,
+    registry_on,
+    run_test,
+)
 from tests.contracts.notes import note_of
 
 
 def setUpModule() -> None:  # noqa: N802
-    """Keep the expected warnings out of the output of the suite."""
+    """Suppress the expected warnings in the output of the tests."""
     quiet_logs()
 
 
 class _LateStore(MemoryStore):
-    """Loses the answer of a commit before the commit is applied."""
+    """Loses the answers of commits and does not apply them."""
 
     is_losing = False
 
     async def commit(self, *args: Any, **options: Any) -> Any:
-        """Apply nothing and lose the answer."""
+        """Apply nothing and lose the answer, while ``is_losing`` is set."""
         if self.is_losing:
             self.answers_to_lose += 1
             args = ([], [])
@@ -43,13 +48,15 @@
 
 
 async def _race(
-    keepers: list[NoteKeeper],
+    registries: list[NoteRegistry],
     notes: list[ReleaseNote],
 ) -> list[Answer]:
     answers: dict[int, Answer] = {}
 
     async def submit(index: int) -> None:
-        answers[index] = await keepers[index].accept(notes[index], based_on=0)
+        answers[index] = await registries[index].accept(
+            notes[index], based_on=0
+        )
 
     async with trio.open_nursery() as nursery:
         for index, _note in enumerate(notes):
@@ -58,7 +65,7 @@
 
 
 class _StaleStore(MemoryStore):
-    """Answers the next reads from an older state, one for each listed key."""
+    """Answers the next read of each listed key with an older value."""
 
     def __init__(self, state: KeyValueState) -> None:
         """Start without stale answers."""
@@ -66,13 +73,13 @@
         self.stale: dict[str, StoredValue | None] = {}
 
     async def read(self, key: str, *, urgency: Urgency) -> StoredValue | None:
-        """Return the older value once."""
+        """Return the older value of a listed key once."""
         fresh = await super().read(key, urgency=urgency)
         return self.stale.pop(key, fresh)
 
 
 class RaceTests(unittest.TestCase):
-    """Guards against notes of racing operators that overwrite each other."""
+    """Guards against concurrent notes that overwrite each other."""
 
     def setUp(self) -> None:
         """Share one state between the stores of four entries."""
@@ -85,26 +92,26 @@
         """Guards against a refusal, or a lost change, after a rebase."""
 
         async def check() -> None:
-            keepers = [keeper_on(store) for store in self.stores]
+            registries = [registry_on(store) for store in self.stores]
             notes = [admit(f'w{index}') for index in range(4)]
-            answers = await _race(keepers, notes)
+            answers = await _race(registries, notes)
             self.assertEqual(
                 {getattr(answer, 'revision', 0) for answer in answers},
                 {1, 2, 3, 4},
             )
-            await keepers[0].accept(admit('w9'))
+            await registries[0].accept(admit('w9'))
             self.assertEqual(
-                keepers[0].current.configuration.instances,
+                registries[0].current.configuration.instances,
                 ('w0', 'w1', 'w2', 'w3', 'w9'),
             )
 
         run_test(check)
 
     def test_conflicting_notes_name_the_fields(self) -> None:
-        """Guards against two winners and against an unexplained refusal."""
+        """Guards against accepting both, and an unexplained refusal."""
 
         async def check() -> None:
-            keepers = [keeper_on(store) for store in self.stores]
+            registries = [registry_on(store) for store in self.stores]
             notes = [
                 note_of(
                     f'"limits": {{"team_count": {count}}}',
@@ -113,7 +120,7 @@
                 )
                 for count in range(100, 104)
             ]
-            answers = await _race(keepers, notes)
+            answers = await _race(registries, notes)
             won = [
                 index
                 for index, answer in enumerate(answers)
@@ -131,26 +138,26 @@
         run_test(check)
 
     def test_same_note_is_accepted_once(self) -> None:
-        """Guards against a note that is applied for each submission."""
+        """Guards against applying a note again for each submission."""
 
         async def check() -> None:
-            keepers = [keeper_on(store) for store in self.stores]
-            answers = await _race(keepers, [admit('w') for _ in keepers])
+            registries = [registry_on(store) for store in self.stores]
+            answers = await _race(registries, [admit('w') for _ in registries])
             self.assertEqual(
                 {getattr(answer, 'revision', 0) for answer in answers},
                 {1},
             )
-            other = await keepers[0].accept(admit('x', note_id='admit-w'))
+            other = await registries[0].accept(admit('x', note_id='admit-w'))
             self.assertIsInstance(other, NoteRefused)
             self.assertIs(getattr(other, 'reason', None), Reason.KEY_REUSED)
 
         run_test(check)
 
     def test_unbased_note_is_compared_after_losing_a_race(self) -> None:
-        """Guards against taking the racing note's head as the base."""
+        """Guards against using the concurrent note's head as the base."""
 
         async def check() -> None:
-            keepers = [keeper_on(store) for store in self.stores[:2]]
+            registries = [registry_on(store) for store in self.stores[:2]]
             answers: list[Answer] = []
 
             async def submit(index: int) -> None:
@@ -158,7 +165,7 @@
                     f'"policy": {{"evictions": {index}}}',
                     note_id=f'n-{index}',
                 )
-                answers.append(await keepers[index].accept(note))
+                answers.append(await registries[index].accept(note))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(submit, 0)
@@ -173,17 +180,17 @@
     """Guards against wrong answers when the store fails."""
 
     def test_stale_head_is_not_a_reason_to_refuse(self) -> None:
-        """Guards against a refusal that rests on an older configuration."""
+        """Guards against a refusal because of an outdated configuration."""
 
         async def check() -> None:
             store = _StaleStore(KeyValueState())
-            keeper = keeper_on(store)
-            await keeper.accept(admit('w'))
+            registry = registry_on(store)
+            await registry.accept(admit('w'))
             old = store.state.stored['/note/head']
-            await keeper.accept(admit('x'))
+            await registry.accept(admit('x'))
             store.stale['/note/head'] = old
             note = note_of('"instances": {"withdrawn": ["x"]}')
-            self.assertEqual(await keeper.accept(note), Accepted(3))
+            self.assertEqual(await registry.accept(note), Accepted(3))
 
         run_test(check)
 
@@ -192,12 +199,12 @@
 
         async def check() -> None:
             store = _StaleStore(KeyValueState())
-            keeper = keeper_on(store)
+            registry = registry_on(store)
             note = note_of('"policy": {"evictions": 1}')
-            await keeper.accept(note)
+            await registry.accept(note)
             for based_on in (0, 1):
                 store.stale['/note/id/n-1'] = None
-                answer = await keeper.accept(note, based_on=based_on)
+                answer = await registry.accept(note, based_on=based_on)
                 self.assertEqual(answer, Accepted(1, is_repeat=True))
 
         run_test(check)
@@ -212,18 +219,18 @@
                     f'"policy": {{"evictions": {count}}}',
                     note_id=f'n-{count}',
                 )
-                answer = await keeper_on(store).accept(note)
+                answer = await registry_on(store).accept(note)
                 self.assertEqual(answer, Accepted(count))
 
         run_test(check)
 
     def test_lost_answer_is_settled_by_reading(self) -> None:
-        """Guards against a second application after a lost answer."""
+        """Guards against applying a note twice after a lost answer."""
 
         async def check() -> None:
             store = MemoryStore()
             store.answers_to_lose = 1
-            answer = await keeper_on(store).accept(admit('w'))
+            answer = await registry_on(store).accept(admit('w'))
             self.assertEqual(answer, Accepted(1, is_repeat=True))
             self.assertEqual(store.writes_count, 1)
 
@@ -235,7 +242,7 @@
         async def check() -> None:
             store = _LateStore()
             store.is_losing = True
-            answer = await keeper_on(store).accept(admit('w'))
+            answer = await registry_on(store).accept(admit('w'))
             self.assertIsInstance(answer, Unknown)
 
         run_test(check)
@@ -245,23 +252,23 @@
 
         async def check() -> None:
             store = MemoryStore()
-            keeper = keeper_on(store)
-            await keeper.accept(admit('w'))
+            registry = registry_on(store)
+            await registry.accept(admit('w'))
             store.is_down = True
-            answer = await keeper.accept(admit('x'))
+            answer = await registry.accept(admit('x'))
             self.assertIsInstance(answer, NotRun)
             self.assertIsNotNone(getattr(answer, 'retry_after_s', None))
-            self.assertEqual(keeper.current.configuration.instances, ('w',))
+            self.assertEqual(registry.current.configuration.instances, ('w',))
             store.is_down = False
-            self.assertEqual(await keeper.accept(admit('x')), Accepted(2))
+            self.assertEqual(await registry.accept(admit('x')), Accepted(2))
 
         run_test(check)
 
     def test_base_that_does_not_exist_is_refused(self) -> None:
-        """Guards against a note for another deployment."""
+        """Guards against accepting a note meant for another deployment."""
 
         async def check() -> None:
-            answer = await keeper_on(MemoryStore()).accept(
+            answer = await registry_on(MemoryStore()).accept(
                 admit('w'),
                 based_on=7,
             )
--- a/tests/machines/test_agent.py
+++ b/tests/machines/test_agent.py
@@ -8,6 +8,7 @@
 
 import trio
 
+from marjoramwharf.contracts.permits import Permit
 from marjoramwharf.errors import Reason, WorkerUnreachable
 from marjoramwharf.ids import (
     CallId,
@@ -18,7 +19,6 @@
     TaskId,
     WorkerId,
 )
-from marjoramwharf.contracts.permits import Permit
 from marjoramwharf.machines.agent import HttpWorkerAgent
 from marjoramwharf.machines.calls import (
     Call,
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -19,6 +19,7 @@
 import msgspec
 import trio
 
+from marjoramwharf.links.http_client import LeanClient
 from tools.deployments import DEPLOYMENTS
 from tools.fleet import OPERATOR_TOKEN, Fleet, WorkerShape, stopping, terminate
 from tools.history import (
@@ -31,7 +32,6 @@
     resumed_twice,
 )
 from tools.jobs_load import job_body, job_headers
-from marjoramwharf.links.http_client import LeanClient
 from tools.load import Balancer, Callers, Planned
 
 _EXAMPLES = pathlib.Path('examples')
--- a/tools/load.py
+++ b/tools/load.py
@@ -16,14 +16,14 @@
 
 import trio
 
-from tools.fleet import Address
-from tools.history import CallerOutcome, CallerRecord
 from marjoramwharf.links.http_client import (
     Answer,
     CallFailed,
     LeanClient,
     NotConnected,
 )
+from tools.fleet import Address
+from tools.history import CallerOutcome, CallerRecord
 
 _ATTEMPTS_LIMIT = 6
 _POLL_S = 0.3
