--- a/src/marjoramwharf/cells/advice.py
+++ b/src/marjoramwharf/cells/advice.py
@@ -1,8 +1,9 @@
-"""Tickets of the advice service for steps whose queue needs them.
+"""Client-side cache of start tickets from the advice service.
 
-The service knows which workers may run a step. It handles one call at a time
-for each caller, so steps are asked about one after the other, the most urgent
-first, and each call names only some workers.
+Queues with an advice policy start a task only on a worker for which the
+service has issued a ticket. The service handles one call at a time for each
+caller, so steps are queried one after the other, the most urgent first, and
+each call names only some of the workers.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 
 import trio
 
+from marjoramwharf.cells.auto_reset_event import AutoResetEvent
 from marjoramwharf.cells.clocks import boot_s
-from marjoramwharf.cells.signals import Signal
 from marjoramwharf.errors import Failure
 from marjoramwharf.ids import WorkerId
 from marjoramwharf.logs import part_logger
@@ -26,25 +27,25 @@
 
 _LOG = part_logger('advice')
 _MS_PER_S = 1_000
-_ASKED_COUNT = 30
-_IDLE_PAUSE_S = 0.2
-_FAILED_PAUSE_S = 0.3
+_MAX_ASKED_WORKERS_COUNT = 30
+_IDLE_POLL_S = 0.2
+_RETRY_PAUSE_S = 0.3
 
-# A ticket is not used in the last part of its validity: its start has to
-# arrive in time.
-_USABLE_SHARE = 0.7
+# A ticket is not used in the last part of its validity, since the start order
+# has to reach the worker before the ticket expires.
+_USABLE_VALIDITY_SHARE = 0.7
 
 
 @dataclass(frozen=True, slots=True)
 class Advice:
-    """Tickets by worker, valid for ``valid_ms`` from the call."""
+    """Tickets by worker, valid for ``valid_ms`` from the start of the call."""
 
     tickets: dict[WorkerId, str]
     valid_ms: int
 
 
-class AdviceCalls(Protocol):
-    """Calls to the advice service."""
+class AdviceClient(Protocol):
+    """Client of the advice service."""
 
     async def advise(
         self,
@@ -53,92 +54,101 @@
         *,
         timeout_s: float,
     ) -> Advice:
-        """Return the workers that may run a step; raises a ``Failure``."""
+        """Return tickets for the workers that may run a step.
+
+        Raises a ``Failure`` if the service gives no usable answer.
+        """
 
 
 @dataclass(slots=True)
 class _StepTickets:
+    """Tickets of one step, and the workers refused for it so far."""
+
     tickets: dict[WorkerId, str] = field(default_factory=dict)
     usable_until_s: float = 0
     refused: set[WorkerId] = field(default_factory=set)
 
 
 @dataclass(slots=True)
-class TicketBook:
-    """Asks for tickets and keeps them while they are valid.
+class TicketCache:
+    """Requests tickets from the advice service and caches them while valid.
 
-    ``on_change`` is called when a step has new tickets.
+    ``on_change`` is called when a step has received an answer.
     """
 
-    calls: AdviceCalls | None
+    client: AdviceClient | None
     book: JobBook
     fleet: Fleet
     configuration: Callable[[], Configuration | None]
     on_change: Callable[[], None]
-    _known: dict[int, _StepTickets] = field(default_factory=dict)
-    _signal: Signal = field(default_factory=Signal)
+    _tickets_by_step: dict[int, _StepTickets] = field(default_factory=dict)
+    _wake_event: AutoResetEvent = field(default_factory=AutoResetEvent)
 
     def tickets(self, step: Step) -> dict[WorkerId, str] | None:
-        """Return the tickets of a step, ``None`` if it needs none."""
-        if self._policy(step.tasks[0]) is None:
+        """Return the cached tickets of a step.
+
+        The result is ``None`` if the step needs no tickets, and empty while
+        they have not been received.
+        """
+        if self._advice_policy(step.tasks[0]) is None:
             return None
-        known = self._known.get(id(step))
-        if known is None or known.usable_until_s <= boot_s():
-            self._signal.set()
+        cached = self._tickets_by_step.get(id(step))
+        if cached is None or cached.usable_until_s <= boot_s():
+            self._wake_event.set()
             return {}
-        return known.tickets
+        return cached.tickets
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Request missing tickets until cancelled."""
         while True:
-            task = self._next_task()
+            task = self._next_task_without_tickets()
             if task is None:
-                await self._signal.wait(timeout_s=_IDLE_PAUSE_S)
+                await self._wake_event.wait(timeout_s=_IDLE_POLL_S)
                 continue
             try:
-                await self._ask(task)
+                await self._request_tickets(task)
             except Failure as failure:
-                _LOG.info('no advice', task=task.name, error=str(failure))
-                await trio.sleep(_FAILED_PAUSE_S)
+                _LOG.info('advice failed', task=task.name, error=str(failure))
+                await trio.sleep(_RETRY_PAUSE_S)
 
-    def _policy(self, task: Task) -> AdvicePolicy | None:
+    def _advice_policy(self, task: Task) -> AdvicePolicy | None:
         configuration = self.configuration()
-        if configuration is None or self.calls is None:
+        if configuration is None or self.client is None:
             return None
         return queue_of(task, configuration.queues).advice
 
-    def _next_task(self) -> Task | None:
+    def _next_task_without_tickets(self) -> Task | None:
         """Return the first ready task whose step has no usable tickets."""
-        live = {id(task.step) for task in self.book.ready.values()}
-        for gone in self._known.keys() - live:
-            self._known.pop(gone)
+        ready_step_ids = {id(task.step) for task in self.book.ready.values()}
+        for step_id in self._tickets_by_step.keys() - ready_step_ids:
+            self._tickets_by_step.pop(step_id)
         for task in self.book.ready.values():
-            if self._policy(task) is not None:
-                known = self._known.get(id(task.step))
-                if known is None or known.usable_until_s <= boot_s():
+            if self._advice_policy(task) is not None:
+                cached = self._tickets_by_step.get(id(task.step))
+                if cached is None or cached.usable_until_s <= boot_s():
                     return task
         return None
 
-    async def _ask(self, task: Task) -> None:
-        policy = self._policy(task)
-        known = self._known.setdefault(id(task.step), _StepTickets())
-        workers = self._candidates(task, known)
-        if policy is None or self.calls is None or not workers:
-            known.refused.clear()
-            await trio.sleep(_IDLE_PAUSE_S)
+    async def _request_tickets(self, task: Task) -> None:
+        policy = self._advice_policy(task)
+        cached = self._tickets_by_step.setdefault(id(task.step), _StepTickets())
+        workers = self._candidates(task, cached)
+        if policy is None or self.client is None or not workers:
+            cached.refused.clear()
+            await trio.sleep(_IDLE_POLL_S)
             return
         asked_s = boot_s()
         expected_ms = policy.decision_ms + policy.per_worker_ms * len(workers)
-        advice = await self.calls.advise(
+        advice = await self.client.advise(
             task.name.rpartition('.')[0],
             workers,
             timeout_s=1 + 2 * expected_ms / _MS_PER_S,
         )
-        known.tickets = advice.tickets
-        known.refused.update(set(workers) - set(advice.tickets))
+        cached.tickets = advice.tickets
+        cached.refused.update(set(workers) - set(advice.tickets))
         if advice.tickets:
             valid_s = advice.valid_ms / _MS_PER_S
-            known.usable_until_s = asked_s + valid_s * _USABLE_SHARE
+            cached.usable_until_s = asked_s + valid_s * _USABLE_VALIDITY_SHARE
         _LOG.info(
             'advice',
             step=task.name,
@@ -147,8 +157,8 @@
         )
         self.on_change()
 
-    def _candidates(self, task: Task, known: _StepTickets) -> list[WorkerId]:
-        """Return usable workers, those first that were not refused yet."""
+    def _candidates(self, task: Task, cached: _StepTickets) -> list[WorkerId]:
+        """Return usable workers without a refusal, least loaded first."""
         now_s = boot_s()
         configuration = self.configuration()
         queues = {} if configuration is None else configuration.queues
@@ -162,5 +172,5 @@
         return [
             worker.worker_id
             for worker in usable
-            if worker.worker_id not in known.refused
-        ][:_ASKED_COUNT]
+            if worker.worker_id not in cached.refused
+        ][:_MAX_ASKED_WORKERS_COUNT]
--- a/src/marjoramwharf/cells/signals.py
+++ b/src/marjoramwharf/cells/auto_reset_event.py
@@ -1,15 +1,15 @@
-"""A wake-up for one waiting task."""
+"""An event that resets itself after waking one task."""
 
 from __future__ import annotations
 
 import trio
 
 
-class Signal:
-    """Remembers that something happened until one task has waited for it."""
+class AutoResetEvent:
+    """An event that stays set until one task has waited for it."""
 
     def __init__(self) -> None:
-        """Start without a wake-up."""
+        """Create the event, not set."""
         self._event = trio.Event()
 
     def set(self) -> None:
@@ -17,13 +17,13 @@
         self._event.set()
 
     async def wait(self, timeout_s: float | None = None) -> bool:
-        """Wait for a wake-up; tell whether there was one in time."""
+        """Wait until the event is set; return whether it was set in time."""
         if timeout_s is None:
             await self._event.wait()
         else:
             with trio.move_on_after(timeout_s):
                 await self._event.wait()
-        woken = self._event.is_set()
-        if woken:
+        was_set = self._event.is_set()
+        if was_set:
             self._event = trio.Event()
-        return woken
+        return was_set
--- /dev/null
+++ b/src/marjoramwharf/cells/cell_context.py
@@ -0,0 +1,54 @@
+"""Dependencies of a cell, and its claim to act as the owner."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from marjoramwharf.cells.advice import AdviceClient
+from marjoramwharf.cells.counters import CellCounters
+from marjoramwharf.cells.instance_settings import Bounds
+from marjoramwharf.cells.records import CellId
+from marjoramwharf.cells.worker_messages import WorkerClient
+from marjoramwharf.cells.worker_registry import ListingDecoder
+from marjoramwharf.links.store import Guard, PollingStore
+from marjoramwharf.scheduling.policy import Configuration
+
+ConfigurationSource = Callable[[], Configuration | None]
+
+
+@dataclass(frozen=True, slots=True)
+class CellContext:
+    """Clients, settings and limits that a cell uses.
+
+    ``decode_listing`` decodes a key and value below ``workers_prefix`` and
+    raises ``BadListing`` if they name no worker. ``hold_ms`` is the length of
+    the leases of runs.
+    """
+
+    store: PollingStore
+    worker_client: WorkerClient
+    configuration: ConfigurationSource
+    workers_prefix: str
+    decode_listing: ListingDecoder
+    bounds: Bounds
+    hold_ms: int
+    counters: CellCounters = field(default_factory=CellCounters)
+    advice_client: AdviceClient | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class CellOwnership:
+    """The right of an entry to act as the owner of a cell.
+
+    ``guard`` is the condition of every write to the store, and its revision
+    the fence of every order to a worker. ``is_current`` tells whether runs may
+    still be started, and ``may_extend_leases`` whether the leases of runs may
+    still be extended. ``give_up`` ends the ownership.
+    """
+
+    cell: CellId
+    guard: Guard
+    is_current: Callable[[], bool]
+    may_extend_leases: Callable[[], bool]
+    give_up: Callable[[], None]
--- a/src/marjoramwharf/cells/clocks.py
+++ b/src/marjoramwharf/cells/clocks.py
@@ -20,7 +20,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-# The latest source is the one in force; tests put their own on top.
+# The last source is the one in use; tests push their own.
 _boot_sources: list[ClockSource] = [_read_boot_clock]
 _wall_sources: list[ClockSource] = [time.time]
 
@@ -37,7 +37,7 @@
 
 @contextmanager
 def replaced_clocks(source: ClockSource) -> Iterator[None]:
-    """Read both clocks from another source for the length of a block."""
+    """Read both clocks from another source within a ``with`` block."""
     _boot_sources.append(source)
     _wall_sources.append(source)
     try:
--- a/src/marjoramwharf/cells/counters.py
+++ b/src/marjoramwharf/cells/counters.py
@@ -1,6 +1,6 @@
-"""Counts of what a cell and its callers did, kept as plain numbers.
+"""Counters of a cell's activity, kept as plain numbers.
 
-``programs/_cell_metrics.py`` turns them into metrics when they are asked for.
+``programs/_cell_metrics.py`` exports them as metrics on each scrape.
 """
 
 from __future__ import annotations
@@ -8,28 +8,28 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-from marjoramwharf.cells.intake_outcomes import Submission
+from marjoramwharf.cells.submission_outcome import SubmissionOutcome
 from marjoramwharf.cells.worker_messages import OrderOutcome
 from marjoramwharf.scheduling.job_state import JobPhase, RunEnd
 
-# Observations that are kept between two looks at the metrics.
-_SAMPLES_COUNT = 5_000
+# Samples kept between two scrapes of the metrics; older ones are dropped.
+_MAX_SAMPLES_COUNT = 5_000
 
 
-def _samples() -> deque[float]:
-    return deque(maxlen=_SAMPLES_COUNT)
+def _new_samples() -> deque[float]:
+    return deque(maxlen=_MAX_SAMPLES_COUNT)
 
 
 @dataclass(slots=True)
 class CellCounters:
-    """Totals since the process started, and samples since the last look.
+    """Totals since the process started, and samples since the last scrape.
 
-    ``wait_samples_s`` are times from a task's readiness to its start,
-    ``write_samples_s`` those of group commits, and ``answer_samples_s`` those
-    from a caller's request to the answer.
+    ``wait_samples_s`` are the times from a task's readiness to its start,
+    ``write_samples_s`` the durations of group commits, and
+    ``answer_samples_s`` the times from a caller's request to the answer.
     """
 
-    submissions: Counter[Submission] = field(default_factory=Counter)
+    submissions: Counter[SubmissionOutcome] = field(default_factory=Counter)
     starts: Counter[OrderOutcome] = field(default_factory=Counter)
     ends: Counter[RunEnd] = field(default_factory=Counter)
     finished_jobs: Counter[JobPhase] = field(default_factory=Counter)
@@ -38,6 +38,6 @@
     moved_runs_count: int = 0
     written_bytes: int = 0
     commits_count: int = 0
-    wait_samples_s: deque[float] = field(default_factory=_samples)
-    write_samples_s: deque[float] = field(default_factory=_samples)
-    answer_samples_s: deque[float] = field(default_factory=_samples)
+    wait_samples_s: deque[float] = field(default_factory=_new_samples)
+    write_samples_s: deque[float] = field(default_factory=_new_samples)
+    answer_samples_s: deque[float] = field(default_factory=_new_samples)
--- a/src/marjoramwharf/cells/decision_log.py
+++ b/src/marjoramwharf/cells/decision_log.py
@@ -1,4 +1,4 @@
-"""Log lines of what a cell's owner has decided and learned."""
+"""Log lines about the decisions of a cell's owner and their results."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 _LOG = part_logger('cell')
 
-# JSON has no infinity.
-_LARGEST_LOGGED = 1_000_000
+# Replaces infinity, which JSON can't represent.
+_MAX_LOGGED_HARM = 1_000_000
 
 
 def log_finished(job: Job, now_s: float) -> None:
@@ -23,7 +23,7 @@
 
 
 def log_plan(plan: StepPlan, config_version: int) -> None:
-    """Log the runs of a step that start now, and what decided it."""
+    """Log the planned runs of a step with the reasons for the decision."""
     step = plan.runs[0].task.step
     _LOG.info(
         'runs planned',
@@ -34,7 +34,7 @@
         workers=sorted({run.worker_id for run in plan.runs}),
         tier=plan.rank.tier.name.lower(),
         slack_ms=round(plan.rank.slack_ms),
-        allowed_harm=round(min(plan.allowed_harm, _LARGEST_LOGGED), 1),
+        allowed_harm=round(min(plan.allowed_harm, _MAX_LOGGED_HARM), 1),
         config=config_version,
     )
 
--- a/src/marjoramwharf/cells/entry_directory.py
+++ b/src/marjoramwharf/cells/entry_directory.py
@@ -1,9 +1,9 @@
-"""The other entries, as far as this one has to know them.
+"""Discovery of other entries through leased records in the store.
 
-Every entry keeps a leased record of itself and reads those of the others now
-and then. The records share a fixed number of slots, so that the cost of a
-reading doesn't grow with the number of entries: of two entries with the same
-slot one stays unknown, which is of no matter since any few peers will do.
+Every entry keeps a leased record of itself and periodically reads the records
+of the others. The records share a fixed number of slots, so that the cost of
+a read doesn't grow with the number of entries. Of two entries with the same
+slot only one is found, which does no harm since any few peers are enough.
 """
 
 from __future__ import annotations
@@ -28,66 +28,67 @@
 
 _LOG = part_logger('entries')
 
-_SLOTS_COUNT = 64
-_TTL_MS = 12_000
-_RENEWAL_PAUSE_S = 4.0
-_READING_PAUSE_S = 10.0
+_RECORD_SLOTS_COUNT = 64
+_RECORD_TTL_MS = 12_000
+_RENEWAL_PERIOD_S = 4.0
+_READ_PERIOD_S = 10.0
 
-# Entries start together, so the first reading waits for their records.
-_FIRST_READING_S = 1.0
+# Entries start together, so the first read waits until all have been written.
+_FIRST_READ_DELAY_S = 1.0
 
 
 @dataclass(slots=True)
 class EntryDirectory:
-    """Publishes one entry and knows the others.
+    """Publishes the record of this entry and reads those of its peers.
 
-    Entries that were known once are kept while the store is away.
+    The peers of the last successful read are kept while the store is
+    unavailable.
     """
 
     store: PollingStore
     record: EntryRecord
-    known: tuple[PeerAddress, ...] = ()
+    peers: tuple[PeerAddress, ...] = ()
     _lease: LeaseId | None = field(default=None)
 
     async def run(self) -> None:
-        """Publish and read until cancelled."""
+        """Renew the record and read those of the peers until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._publish)
-            await trio.sleep(_FIRST_READING_S)
+            nursery.start_soon(self._publish_record)
+            await trio.sleep(_FIRST_READ_DELAY_S)
             while True:
-                await self._read()
-                await trio.sleep(_READING_PAUSE_S)
+                await self._read_peers()
+                await trio.sleep(_READ_PERIOD_S)
 
-    async def _publish(self) -> None:
+    async def _publish_record(self) -> None:
         while True:
             try:
-                await self._renew()
+                await self._renew_or_write_record()
             except Failure as failure:
-                _LOG.info('entry not published', error=str(failure))
-            await trio.sleep(_RENEWAL_PAUSE_S)
+                _LOG.info('entry record not published', error=str(failure))
+            await trio.sleep(_RENEWAL_PERIOD_S)
 
-    async def _renew(self) -> None:
+    async def _renew_or_write_record(self) -> None:
         if self._lease is not None:
             if await self.store.keep_alive(self._lease):
                 return
             self._lease = None
-        lease = await self.store.grant_lease(_TTL_MS)
-        slot = zlib.crc32(self.record.entry_id.encode()) % _SLOTS_COUNT
+        lease = await self.store.grant_lease(_RECORD_TTL_MS)
+        slot = zlib.crc32(self.record.entry_id.encode()) % _RECORD_SLOTS_COUNT
         write = Write(entry_key(slot), encode(self.record), lease)
         await self.store.commit([], [write])
         self._lease = lease
 
-    async def _read(self) -> None:
+    async def _read_peers(self) -> None:
         try:
-            reading = await self.store.read_prefix(ENTRIES_PREFIX)
+            result = await self.store.read_prefix(ENTRIES_PREFIX)
         except Failure as failure:
-            _LOG.info('entries not read', error=str(failure))
+            _LOG.info('entry records not read', error=str(failure))
             return
         records = (
             decode(stored.body, EntryRecord, key=stored.key)
-            for stored in reading.found
+            for stored in result.found
         )
-        self.known = tuple(
+        self.peers = tuple(
             PeerAddress(
                 record.entry_id, record.host, record.port, record.secret
             )
--- a/src/marjoramwharf/cells/inbox.py
+++ b/src/marjoramwharf/cells/inbox.py
@@ -1,4 +1,4 @@
-"""What entries write for the owner of a cell: requests and cancellations."""
+"""Job requests and cancellations that entries store for the owner of a cell."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 
 _LOG = part_logger('inbox')
 
-_Progress = dict[JobId, tuple[ProgressRecord, int]]
+_ProgressByJob = dict[JobId, tuple[ProgressRecord, int]]
 
 
 @dataclass(slots=True)
 class Inbox:
-    """Takes requests and cancellations into the book of a cell.
+    """Reads requests and cancellations and applies them to the cell's jobs.
 
-    ``on_cancelled`` is called for each job that was open until then, and
-    ``on_change`` after each batch.
+    ``on_cancelled`` is called for each open job that a cancellation closes,
+    and ``on_change`` after each batch of watch events.
     """
 
     cell: CellId
@@ -43,13 +43,13 @@
     _cancelled: set[JobId] = field(default_factory=set)
 
     async def load(self, store: PollingStore) -> None:
-        """Read all jobs and their progress; raises store failures."""
+        """Restore all jobs and their progress; raises store failures."""
         progress = await self._read_progress(store)
         found = (await store.read_prefix(inbox_prefix(self.cell))).found
         now_s = boot_s()
         now_ms = wall_ms()
         for stored in found:
-            request = self._request_of(stored)
+            request = self._decode_request(stored)
             if request is not None:
                 record, revision = progress.get(request.job_id, (None, 0))
                 job = restore_job(
@@ -61,53 +61,53 @@
                 self.book.adopt(job, now_s=now_s, now_ms=now_ms)
         self.book.advance(now_s=now_s, now_ms=now_ms)
         for stored in found:
-            self._take_cancel(stored.key)
+            self._apply_cancellation(stored.key)
 
     async def apply(self, batch: WatchBatch) -> None:
-        """Take in what entries have written since."""
+        """Apply watch events: new requests and cancellations."""
         now_s = boot_s()
         now_ms = wall_ms()
         for event in batch.events:
             if event.stored is None:
                 continue
-            request = self._request_of(event.stored)
+            request = self._decode_request(event.stored)
             if request is not None:
                 self.book.add(request, now_s=now_s, now_ms=now_ms)
                 if request.job_id in self._cancelled:
-                    self._cancel(request.job_id)
-            self._take_cancel(event.key)
+                    self._cancel_job(request.job_id)
+            self._apply_cancellation(event.key)
         self.on_change()
 
     def forget(self, job_id: JobId) -> None:
-        """Drop what is kept of a job."""
+        """Drop the cancellation mark of a removed job."""
         self._cancelled.discard(job_id)
 
-    async def _read_progress(self, store: PollingStore) -> _Progress:
+    async def _read_progress(self, store: PollingStore) -> _ProgressByJob:
         prefix = progress_prefix(self.cell)
-        found: _Progress = {}
+        found: _ProgressByJob = {}
         for stored in (await store.read_prefix(prefix)).found:
             record = decode(stored.body, ProgressRecord, key=stored.key)
             job_id = JobId(stored.key.removeprefix(prefix))
             found[job_id] = (record, stored.mod_revision)
         return found
 
-    def _request_of(self, stored: StoredValue) -> JobRequest | None:
-        """Return the request that a key of the inbox holds, if any."""
+    def _decode_request(self, stored: StoredValue) -> JobRequest | None:
+        """Decode a request; returns ``None`` if the key is of another kind."""
         if not stored.key.startswith(request_key(self.cell, JobId(''))):
             return None
         return decode(stored.body, JobRequest, key=stored.key)
 
-    def _take_cancel(self, key: str) -> None:
+    def _apply_cancellation(self, key: str) -> None:
         prefix = cancel_key(self.cell, JobId(''))
         if key.startswith(prefix):
             job_id = JobId(key.removeprefix(prefix))
             self._cancelled.add(job_id)
-            self._cancel(job_id)
+            self._cancel_job(job_id)
 
-    def _cancel(self, job_id: JobId) -> None:
-        known = self.book.jobs.get(job_id)
-        if known is None or not known.is_open:
+    def _cancel_job(self, job_id: JobId) -> None:
+        job = self.book.jobs.get(job_id)
+        if job is None or not job.is_open:
             return
         _LOG.info('job cancelled', job=job_id)
         self.book.cancel(job_id, now_s=boot_s())
-        self.on_cancelled(known)
+        self.on_cancelled(job)
--- a/src/marjoramwharf/cells/place.py
+++ b/src/marjoramwharf/cells/instance_settings.py
@@ -1,4 +1,4 @@
-"""Where an entry runs, and the bounds that hold there.
+"""Settings of an entry instance: addresses, time bounds and store limits.
 
 The values come from the settings of the process; ``platform.boot`` reads
 them on the users' platform.
@@ -15,11 +15,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Times that the platform and its users rely on.
+    """Time bounds that the platform and its users rely on.
 
-    ``max_hold_ms`` is the longest lease of a run. ``stop_ms`` bounds a stop at
-    a worker, ``grace_ms`` the time from the request to stop to the kill.
-    ``status_ms`` is how long a finished job has to be known.
+    ``max_hold_ms`` is the longest lease of a run. ``stop_ms`` is the longest
+    time that a worker takes to stop a run, and ``grace_ms`` the time from the
+    request to stop this process to its kill. ``status_ms`` is the time for
+    which the state of a finished job has to be available.
     """
 
     max_hold_ms: int = 10_000
@@ -35,18 +36,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoreRates:
-    """Calls that all entries together may make, and the shortest lease."""
+class StoreLimits:
+    """Limits of the store: call rates of all entries together, lease, value."""
 
     writes_per_s: float = 400
     reads_per_s: float = 2_000
-    shortest_ttl_ms: int = 1_000
-    value_bytes: int = 1_048_576
+    min_ttl_ms: int = 1_000
+    max_value_bytes: int = 1_048_576
 
 
 @dataclass(frozen=True, slots=True)
-class EntryPlace:
-    """One entry instance.
+class InstanceSettings:
+    """Identity, addresses and limits of one entry instance.
 
     ``peer_ports`` are the first and the last port for messages between
     entries. ``cpu_share`` is the speed of the instance in cores.
@@ -65,4 +66,4 @@
     cpu_share: float = 1
     memory_mb: int = 300
     bounds: Bounds = field(default_factory=Bounds)
-    rates: StoreRates = field(default_factory=StoreRates)
+    store_limits: StoreLimits = field(default_factory=StoreLimits)
--- a/src/marjoramwharf/cells/intake.py
+++ b/src/marjoramwharf/cells/intake.py
@@ -1,7 +1,8 @@
-"""What callers may ask of any entry: submit, status, cancel and count.
+"""Caller requests that every entry serves: submit, status, cancel and count.
 
-A job is accepted once its request is stored, whoever owns the cell. Its state
-comes from the owner, and from the store while the owner can't be reached.
+A job is accepted once its request is stored, whichever entry owns the cell.
+Its state comes from the owner, or from the store while the owner can't be
+reached.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 import trio
 
 from marjoramwharf.cells.counters import CellCounters
-from marjoramwharf.cells.intake_outcomes import Submission
+from marjoramwharf.cells.job_status import PublicJobState
 from marjoramwharf.cells.owner_link import CellSource, OwnerLink
 from marjoramwharf.cells.records import (
     CellId,
@@ -23,7 +24,7 @@
     progress_key,
     request_key,
 )
-from marjoramwharf.cells.status import ShownState
+from marjoramwharf.cells.submission_outcome import SubmissionOutcome
 from marjoramwharf.errors import Failure, StoreAnswerLost, StoreUnavailable
 from marjoramwharf.ids import JobId
 from marjoramwharf.links.store import (
@@ -41,10 +42,10 @@
 _LOG = part_logger('intake')
 _RETRY_PAUSE_S = 0.05
 
-_SHOWN = {
-    JobPhase.DONE: ShownState.DONE,
-    JobPhase.FAILED: ShownState.FAILED,
-    JobPhase.CANCELLED: ShownState.CANCELLED,
+_FINAL_STATES = {
+    JobPhase.DONE: PublicJobState.DONE,
+    JobPhase.FAILED: PublicJobState.FAILED,
+    JobPhase.CANCELLED: PublicJobState.CANCELLED,
 }
 
 
@@ -54,17 +55,18 @@
 
 @dataclass(slots=True)
 class Intake:
-    """The callers' side of a cell at one entry.
+    """Handles the requests of callers to a cell at one entry.
 
-    ``is_reachable`` tells whether a call to the store is likely to be carried
-    out.
+    ``local_cell`` returns the cell if this entry owns it, and ``owner_link``
+    asks the owner otherwise. ``is_store_reachable`` tells whether a call to
+    the store is likely to be carried out.
     """
 
     store: PollingStore
     cell: CellId
-    owner: OwnerLink
-    local: CellSource
-    is_reachable: Callable[[], bool] = _always
+    owner_link: OwnerLink
+    local_cell: CellSource
+    is_store_reachable: Callable[[], bool] = _always
     counters: CellCounters = field(default_factory=CellCounters)
 
     async def submit(
@@ -72,110 +74,112 @@
         request: JobRequest,
         *,
         deadline_s: float,
-    ) -> Submission:
-        """Store a job; a repeat of a known one is accepted again.
+    ) -> SubmissionOutcome:
+        """Store a job; the repeat of a stored job is accepted again.
 
         While the store can't be reached, a job is refused at once, so that
-        its caller may ask another entry. A job that may have been stored is
-        given up then too, as ``UNKNOWN``.
+        its caller can try another entry. Retries of a write that may have been
+        carried out stop then too, with the outcome ``UNKNOWN``.
         """
-        outcome = await self._first_refusal(request)
+        outcome = await self._check_admission(request)
         if outcome is None:
-            outcome = await self._store(request, deadline_s)
+            outcome = await self._store_with_retries(request, deadline_s)
         self.counters.submissions[outcome] += 1
         return outcome
 
-    async def _first_refusal(self, request: JobRequest) -> Submission | None:
-        """Return why a job need not be sent to the store, if it needn't."""
-        if not self.is_reachable():
-            return await self._answer_repeat(request)
+    async def _check_admission(
+        self, request: JobRequest
+    ) -> SubmissionOutcome | None:
+        """Return the outcome if it is clear without a write, else ``None``."""
+        if not self.is_store_reachable():
+            return await self._accept_if_known(request)
         if await self._is_servable(request):
             return None
         _LOG.info('job unservable', job=request.job_id)
-        return Submission.UNSERVABLE
+        return SubmissionOutcome.UNSERVABLE
 
-    async def _answer_repeat(self, request: JobRequest) -> Submission:
-        """Answer a submission without the store: a known job is accepted."""
+    async def _accept_if_known(self, request: JobRequest) -> SubmissionOutcome:
+        """Answer without the store: accept a job that the owner knows."""
         if await self._ask_owner(request.job_id) is not None:
             _LOG.info('job accepted', job=request.job_id, is_new=False)
-            return Submission.ACCEPTED
+            return SubmissionOutcome.ACCEPTED
         _LOG.info('submission refused', job=request.job_id, store='away')
-        return Submission.REFUSED
+        return SubmissionOutcome.REFUSED
 
     async def _is_servable(self, request: JobRequest) -> bool:
-        """Ask the owner; a job that it can't be asked about is taken."""
-        cell = self.local()
+        """Ask the owner; if it can't be asked, the job counts as servable."""
+        cell = self.local_cell()
         if cell is not None and cell.is_loaded:
             return cell.can_serve(request)
         try:
-            return await self.owner.can_serve(request)
+            return await self.owner_link.can_serve(request)
         except Failure as failure:
-            _LOG.debug('owner not asked', error=str(failure))
+            _LOG.debug('owner call failed', error=str(failure))
             return True
 
-    async def _store(
+    async def _store_with_retries(
         self,
         request: JobRequest,
         deadline_s: float,
-    ) -> Submission:
-        is_unknown = False
+    ) -> SubmissionOutcome:
+        is_doubtful = False
         while True:
             outcome = await self._store_once(request)
-            is_unknown = is_unknown or outcome is Submission.UNKNOWN
-            if outcome is Submission.ACCEPTED or not is_unknown:
+            is_doubtful = is_doubtful or outcome is SubmissionOutcome.UNKNOWN
+            if outcome is SubmissionOutcome.ACCEPTED or not is_doubtful:
                 return outcome
             is_late = trio.current_time() + _RETRY_PAUSE_S >= deadline_s
-            if is_late or not self.is_reachable():
-                return Submission.UNKNOWN
+            if is_late or not self.is_store_reachable():
+                return SubmissionOutcome.UNKNOWN
             await trio.sleep(_RETRY_PAUSE_S)
 
-    async def _store_once(self, request: JobRequest) -> Submission:
+    async def _store_once(self, request: JobRequest) -> SubmissionOutcome:
         key = request_key(self.cell, request.job_id)
         write = Write(key, encode(request))
         try:
             outcome = await self.store.commit([Guard(key, 0)], [write])
-        except StoreAnswerLost as lost:
+        except StoreAnswerLost as lost_answer:
             _LOG.info(
-                'submission without an answer',
+                'submission outcome unknown',
                 job=request.job_id,
-                error=str(lost),
+                error=str(lost_answer),
             )
-            return Submission.UNKNOWN
+            return SubmissionOutcome.UNKNOWN
         except Failure as failure:
             _LOG.info(
                 'submission refused',
                 job=request.job_id,
                 error=str(failure),
             )
-            return Submission.REFUSED
-        self._note(request, outcome)
-        return Submission.ACCEPTED
+            return SubmissionOutcome.REFUSED
+        self._log_accepted(request, outcome)
+        return SubmissionOutcome.ACCEPTED
 
-    async def status(self, job_id: JobId) -> ShownState | None:
+    async def status(self, job_id: JobId) -> PublicJobState | None:
         """Return the state of a job, ``None`` if no such job is stored.
 
         Raises ``StoreUnavailable`` if neither the owner nor the store answers.
         """
-        shown = await self._ask_owner(job_id)
-        return await self._read_status(job_id) if shown is None else shown
+        state = await self._ask_owner(job_id)
+        return await self._read_status(job_id) if state is None else state
 
     async def cancel(self, job_id: JobId, *, deadline_s: float) -> bool:
-        """Cancel a job once that is stored; tell whether it is known.
+        """Store the cancellation of a job; tell whether the job exists.
 
-        Raises ``StoreUnavailable`` or ``StoreAnswerLost`` when time is up or
-        the store can't be reached.
+        Raises ``StoreUnavailable`` or ``StoreAnswerLost`` when the deadline
+        has passed or the store can't be reached.
         """
         while True:
             try:
                 return await self._cancel_once(job_id)
             except (StoreUnavailable, StoreAnswerLost):
                 is_late = trio.current_time() + _RETRY_PAUSE_S >= deadline_s
-                if is_late or not self.is_reachable():
+                if is_late or not self.is_store_reachable():
                     raise
             await trio.sleep(_RETRY_PAUSE_S)
 
     async def _cancel_once(self, job_id: JobId) -> bool:
-        revision = await self._revision_of(job_id)
+        revision = await self._read_request_revision(job_id)
         if revision is None:
             return False
         cancel = cancel_key(self.cell, job_id)
@@ -192,16 +196,16 @@
         return any(stored.key == cancel for stored in outcome.found)
 
     async def waiting_count(self, queue: str) -> int:
-        """Return the accepted jobs of a queue that have not begun.
+        """Return the number of accepted jobs of a queue that have not begun.
 
         Raises a ``Failure`` if the owner can't be asked.
         """
-        cell = self.local()
+        cell = self.local_cell()
         if cell is not None and cell.is_loaded:
             return cell.book.waiting_count(queue)
-        return await self.owner.waiting_count(queue)
+        return await self.owner_link.waiting_count(queue)
 
-    def _note(
+    def _log_accepted(
         self,
         request: JobRequest,
         outcome: Committed | Conflict,
@@ -209,17 +213,17 @@
         is_new = isinstance(outcome, Committed)
         _LOG.info('job accepted', job=request.job_id, is_new=is_new)
 
-    async def _ask_owner(self, job_id: JobId) -> ShownState | None:
-        cell = self.local()
+    async def _ask_owner(self, job_id: JobId) -> PublicJobState | None:
+        cell = self.local_cell()
         if cell is not None and cell.is_loaded:
             return cell.status(job_id)
         try:
-            return await self.owner.status(job_id)
+            return await self.owner_link.status(job_id)
         except Failure as failure:
-            _LOG.debug('owner not asked', job=job_id, error=str(failure))
+            _LOG.debug('owner call failed', job=job_id, error=str(failure))
             return None
 
-    async def _read_status(self, job_id: JobId) -> ShownState | None:
+    async def _read_status(self, job_id: JobId) -> PublicJobState | None:
         stored = await self.store.read(
             request_key(self.cell, job_id),
         )
@@ -231,20 +235,20 @@
         cancelled = await self.store.read(
             cancel_key(self.cell, job_id),
         )
-        return _shown(progress, is_cancelled=cancelled is not None)
+        return _state_from_store(progress, is_cancelled=cancelled is not None)
 
-    async def _revision_of(self, job_id: JobId) -> int | None:
+    async def _read_request_revision(self, job_id: JobId) -> int | None:
         stored = await self.store.read(
             request_key(self.cell, job_id),
         )
         return None if stored is None else stored.mod_revision
 
 
-def _shown(
+def _state_from_store(
     progress: StoredValue | None,
     *,
     is_cancelled: bool,
-) -> ShownState:
+) -> PublicJobState:
     if progress is None:
         record = ProgressRecord(JobPhase.OPEN)
     else:
@@ -253,9 +257,9 @@
             ProgressRecord,
             key=progress.key,
         )
-    final = _SHOWN.get(record.phase)
+    final = _FINAL_STATES.get(record.phase)
     if final is not None:
         return final
     if is_cancelled:
-        return ShownState.CANCELLED
-    return ShownState.RUNNING if record.has_begun else ShownState.QUEUED
+        return PublicJobState.CANCELLED
+    return PublicJobState.RUNNING if record.has_begun else PublicJobState.QUEUED
--- a/src/marjoramwharf/cells/forgetting.py
+++ b/src/marjoramwharf/cells/job_cleanup.py
@@ -21,40 +21,46 @@
 _LOG = part_logger('cell')
 _MS_PER_S = 1_000
 
-# A finished job stays known for this much longer than callers are promised.
-_SLACK_S = 30
+# A finished job is kept for this much longer than callers are promised.
+_RETENTION_MARGIN_S = 30
 
-# Three keys a job and the owner's record fit into one call.
+# The three keys of each job and the condition on the owner's record have to fit
+# into one call.
 _JOBS_PER_COMMIT = 10
 
 
-async def forget_finished(
+async def remove_finished_jobs(
     store: PollingStore,
     cell: CellId,
     owner: Guard,
     book: JobBook,
     inbox: Inbox,
     *,
-    kept_ms: int,
+    retention_ms: int,
 ) -> None:
-    """Remove the jobs that have been finished for ``kept_ms``."""
-    kept_s = kept_ms / _MS_PER_S + _SLACK_S
-    old = [job for job in book.jobs.values() if _is_old(job, kept_s)]
-    for start in range(0, len(old), _JOBS_PER_COMMIT):
-        group = old[start : start + _JOBS_PER_COMMIT]
-        if not await _remove(store, cell, owner, group):
+    """Remove jobs that finished more than ``retention_ms`` ago.
+
+    Stops at the first failed or refused write; the next call tries again.
+    """
+    min_age_s = retention_ms / _MS_PER_S + _RETENTION_MARGIN_S
+    expired = [job for job in book.jobs.values() if _is_expired(job, min_age_s)]
+    for start in range(0, len(expired), _JOBS_PER_COMMIT):
+        batch = expired[start : start + _JOBS_PER_COMMIT]
+        if not await _remove_from_store(store, cell, owner, batch):
             return
-        for job in group:
+        for job in batch:
             book.forget(job.job_id)
             inbox.forget(job.job_id)
 
 
-def _is_old(job: Job, kept_s: float) -> bool:
+def _is_expired(job: Job, min_age_s: float) -> bool:
     is_settled = not job.occurrences and job.stored_version == job.version
-    return not job.is_open and is_settled and boot_s() - job.finished_s > kept_s
+    return (
+        not job.is_open and is_settled and boot_s() - job.finished_s > min_age_s
+    )
 
 
-async def _remove(
+async def _remove_from_store(
     store: PollingStore,
     cell: CellId,
     owner: Guard,
@@ -72,6 +78,6 @@
     try:
         outcome = await store.commit([owner], writes)
     except Failure as failure:
-        _LOG.info('finished jobs kept for now', error=str(failure))
+        _LOG.info('finished jobs not removed yet', error=str(failure))
         return False
     return isinstance(outcome, Committed)
--- a/src/marjoramwharf/cells/status.py
+++ b/src/marjoramwharf/cells/job_status.py
@@ -1,4 +1,4 @@
-"""What callers are told of a job."""
+"""State of a job as callers see it."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 @enum.unique
-class ShownState(enum.Enum):
-    """State of a job; the values travel between entries."""
+class PublicJobState(enum.Enum):
+    """State of a job as callers see it; the values are sent between entries."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
--- /dev/null
+++ b/src/marjoramwharf/cells/link_context.py
@@ -0,0 +1,48 @@
+"""Shared settings of worker links, and the callbacks to their cell."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from marjoramwharf.cells.counters import CellCounters
+from marjoramwharf.cells.worker_messages import WorkerClient
+from marjoramwharf.ids import TaskId, WorkerId
+from marjoramwharf.scheduling.job_state import Job, Run, RunEnd
+
+
+class LinkOwner(Protocol):
+    """Callbacks and queries of a worker link to the cell that owns it."""
+
+    def on_run_started(self, run: Run) -> None:
+        """Record that a worker has started a run."""
+
+    def end_run(self, run: Run, how: RunEnd, checkpoint: str) -> Job:
+        """Record the end of a run; returns the job that has to be stored."""
+
+    def find_run(self, task: TaskId, number: int) -> Run | None:
+        """Return a run that has not ended, by its task and number."""
+
+    def on_superseded(self) -> None:
+        """Give up the cell, since a worker has seen a higher fence."""
+
+    def on_polled(self, worker_id: WorkerId) -> None:
+        """React to a poll whose report has been processed."""
+
+    def may_extend_leases(self) -> bool:
+        """Whether this entry may still extend the leases of runs."""
+
+
+@dataclass(frozen=True, slots=True)
+class LinkContext:
+    """Client, fence and limits that all worker links of a cell share.
+
+    ``hold_ms`` is the length of the leases of runs. ``stop_ms`` is the longest
+    time that a worker takes to stop a run.
+    """
+
+    worker_client: WorkerClient
+    fence: int
+    hold_ms: int
+    stop_ms: int
+    counters: CellCounters = field(default_factory=CellCounters)
--- a/src/marjoramwharf/cells/model_keeper.py
+++ b/src/marjoramwharf/cells/model_saver.py
@@ -1,6 +1,6 @@
-"""Keeps what the owner of a cell has learned, for the next owner.
+"""Persistence of the interference model across changes of owner.
 
-Nothing depends on it: a model that can't be read is learned anew.
+The model is only an optimization: one that can't be read is learned anew.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 _LOG = part_logger('model')
 
-# What was learned since the last write is lost with the owner.
-_WRITE_PAUSE_S = 3.0
+# Whatever was learned since the last write is lost when the owner ends.
+_SAVE_PERIOD_S = 3.0
 
-# Bounds the size of the record, at about 40 bytes a pair of images.
-_PAIRS_COUNT = 2_000
+# Limits the size of the record; a pair of images takes about 40 bytes.
+_MAX_PAIRS_COUNT = 2_000
 
 
 @dataclass(frozen=True, slots=True)
-class ModelKeeper:
-    """Reads and writes the model; ``owner`` is the condition of writes."""
+class ModelSaver:
+    """Loads and saves the model; ``owner`` is the condition of every write."""
 
     store: PollingStore
     cell: CellId
@@ -40,7 +40,7 @@
     model: InterferenceModel
 
     async def load(self) -> None:
-        """Start from what the former owner has learned, if that is known."""
+        """Restore the model that the former owner has saved, if any."""
         key = model_key(self.cell)
         try:
             stored = await self.store.read(key)
@@ -48,26 +48,26 @@
                 return
             record = decode(stored.body, ModelRecord, key=key)
         except Failure as failure:
-            _LOG.warning('model not read', error=str(failure))
+            _LOG.warning('model not loaded', error=str(failure))
             return
         self.model.restore(record.weights)
-        _LOG.info('model read', pairs=len(record.weights))
+        _LOG.info('model loaded', pairs=len(record.weights))
 
     async def run(self) -> None:
-        """Write what changes until cancelled."""
-        written: bytes | None = None
+        """Save the model whenever it has changed, until cancelled."""
+        saved_body: bytes | None = None
         while True:
-            await trio.sleep(_WRITE_PAUSE_S)
-            weights = self.model.known_weights()[:_PAIRS_COUNT]
+            await trio.sleep(_SAVE_PERIOD_S)
+            weights = self.model.known_weights()[:_MAX_PAIRS_COUNT]
             body = encode(ModelRecord(weights))
-            if body != written and weights and await self._write(body):
-                written = body
+            if body != saved_body and weights and await self._save(body):
+                saved_body = body
 
-    async def _write(self, body: bytes) -> bool:
+    async def _save(self, body: bytes) -> bool:
         write = Write(model_key(self.cell), body)
         try:
             await self.store.commit([self.owner], [write])
         except Failure as failure:
-            _LOG.info('model not stored', error=str(failure))
+            _LOG.info('model not saved', error=str(failure))
             return False
         return True
--- a/src/marjoramwharf/cells/owner_link.py
+++ b/src/marjoramwharf/cells/owner_link.py
@@ -1,4 +1,4 @@
-"""Calls of an entry to the owner of a cell, and the owner's answers."""
+"""RPC from an entry to the owner of a cell: the client and the handler."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 import trio
 
 from marjoramwharf.cells.cell import Cell
-from marjoramwharf.cells.ownership import KnownOwner, OwnerView
+from marjoramwharf.cells.job_status import PublicJobState
+from marjoramwharf.cells.ownership import CurrentOwner, OwnerView
 from marjoramwharf.cells.records import CellId, decode, encode
-from marjoramwharf.cells.status import ShownState
 from marjoramwharf.errors import NotOwner, PeerRefused, PeerUnreachable
 from marjoramwharf.ids import JobId
 from marjoramwharf.links.peer_client import PeerClient
@@ -22,71 +22,72 @@
 from marjoramwharf.links.thrift_types.peer import ttypes
 from marjoramwharf.scheduling.workload import JobRequest
 
-_STATUS = 'status'
-_WAITING = 'waiting'
-_ADMIT = 'admit'
-_FOUND = 200
-_UNKNOWN = 404
+_STATUS_METHOD = 'status'
+_WAITING_METHOD = 'waiting'
+_ADMIT_METHOD = 'admit'
+_STATUS_OK = 200
+_STATUS_NOT_FOUND = 404
 
-# Refused connections in a row after which the owner's process has ended.
-_REFUSALS_UNTIL_GONE = 2
+# The owner's process counts as ended after this many refused connections or
+# handshakes.
+_REFUSALS_UNTIL_ENDED = 2
 
 CellSource = Callable[[], Cell | None]
-OnGone = Callable[[KnownOwner], None]
+OnOwnerEnded = Callable[[CurrentOwner], None]
 
 
-def _ignore(_known: KnownOwner) -> None:
-    """Take no notice of an owner that is gone."""
+def _ignore_owner_end(_owner: CurrentOwner) -> None:
+    """Do nothing when the process of an owner has ended."""
 
 
 @dataclass(slots=True)
 class OwnerLink:
-    """Keeps a connection to whoever owns the cell.
+    """Keeps a connection to the current owner of the cell and calls it.
 
     The methods raise ``PeerUnreachable`` or ``PeerRefused``; the caller then
-    reads the store. ``on_gone`` is told of an owner whose process has ended:
-    its address refuses connections, or another process answers there.
+    reads the store. ``on_owner_ended`` is called when the owner's process has
+    ended: its address refuses connections, or another process answers there.
     """
 
     view: OwnerView
     cell: CellId
     identity: PeerIdentity
     timeout_s: float
-    on_gone: OnGone = _ignore
+    on_owner_ended: OnOwnerEnded = _ignore_owner_end
     _client: PeerClient | None = None
 
     async def run(self) -> None:
-        """Follow the owner until cancelled."""
+        """Connect to each owner in turn, until cancelled."""
         while True:
             await self._follow_owner(self.view.owners.get(self.cell))
 
-    async def status(self, job_id: JobId) -> ShownState | None:
-        """Return the state of a job, ``None`` if the owner knows none."""
-        reply = await self._call(_STATUS, job_id)
-        if reply.status == _UNKNOWN:
+    async def status(self, job_id: JobId) -> PublicJobState | None:
+        """Return the state of a job, ``None`` if the owner has no such job."""
+        reply = await self._call(_STATUS_METHOD, job_id)
+        if reply.status == _STATUS_NOT_FOUND:
             return None
-        return ShownState(reply.body.decode())
+        return PublicJobState(reply.body.decode())
 
     async def waiting_count(self, queue: str) -> int:
-        """Return the accepted jobs of a queue that have not begun."""
-        reply = await self._call(_WAITING, queue)
+        """Return the number of accepted jobs of a queue that have not begun."""
+        reply = await self._call(_WAITING_METHOD, queue)
         return int(reply.body)
 
-    async def _follow_owner(self, known: KnownOwner | None) -> None:
-        """Keep the connection to one owner for as long as it is named."""
+    async def _follow_owner(self, owner: CurrentOwner | None) -> None:
+        """Stay connected to one owner until the store names another one."""
         async with trio.open_nursery() as nursery:
-            if known is not None and not self._is_self(known):
-                self._client = self._connect(known)
+            if owner is not None and not self._is_self(owner):
+                self._client = self._connect(owner)
                 nursery.start_soon(self._client.run)
-            while self.view.owners.get(self.cell) == known:
+            while self.view.owners.get(self.cell) == owner:
                 await self.view.wait_change()
             self._client = None
             nursery.cancel_scope.cancel()
 
     async def can_serve(self, request: JobRequest) -> bool:
-        """Return whether the workers could run a job at all."""
-        reply = await self._call(_ADMIT, encode(request))
-        return bool(reply.status == _FOUND)
+        """Return whether some worker is large enough for each step of a job."""
+        reply = await self._call(_ADMIT_METHOD, encode(request))
+        return bool(reply.status == _STATUS_OK)
 
     async def _call(self, method: str, argument: str | bytes) -> Message:
         client = self._client
@@ -103,24 +104,24 @@
             timeout_s=self.timeout_s,
         )
 
-    def _is_self(self, known: KnownOwner) -> bool:
-        return known.record.entry_id == self.identity.entry_id
+    def _is_self(self, owner: CurrentOwner) -> bool:
+        return owner.record.entry_id == self.identity.entry_id
 
-    def _connect(self, known: KnownOwner) -> PeerClient:
-        record = known.record
+    def _connect(self, owner: CurrentOwner) -> PeerClient:
+        record = owner.record
         refusals = itertools.count(1)
 
-        def note_failure(failure: Exception) -> None:
+        def detect_owner_end(failure: Exception) -> None:
             if isinstance(failure, (ConnectionRefusedError, PeerRefused)):
-                if next(refusals) >= _REFUSALS_UNTIL_GONE:
-                    self.on_gone(known)
+                if next(refusals) >= _REFUSALS_UNTIL_ENDED:
+                    self.on_owner_ended(owner)
 
         return PeerClient(
             partial(open_stream, record.host, record.port),
             identity=self.identity,
             secret=record.secret,
             rng=random.Random(),
-            on_failure=note_failure,
+            on_failure=detect_owner_end,
         )
 
 
@@ -129,19 +130,22 @@
     _sender: PeerIdentity,
     call: Message,
 ) -> Message:
-    """Answer a call of an entry; raises ``NotOwner`` if the cell is not ours."""
+    """Answer a call from another entry about the cell that this entry owns.
+
+    Raises ``NotOwner`` if this entry doesn't own the cell or hasn't loaded it.
+    """
     cell = source()
-    if cell is None or not cell.is_loaded or cell.mandate.cell != call.shard:
+    if cell is None or not cell.is_loaded or cell.ownership.cell != call.shard:
         raise NotOwner(message=f'cell {call.shard} is not owned here')
-    if call.method == _ADMIT:
+    if call.method == _ADMIT_METHOD:
         request = decode(call.body, JobRequest, key='peer call')
-        status = _FOUND if cell.can_serve(request) else _UNKNOWN
+        status = _STATUS_OK if cell.can_serve(request) else _STATUS_NOT_FOUND
         return ttypes.JobReply(status=status, body=b'')
     argument = call.body.decode()
-    if call.method == _WAITING:
+    if call.method == _WAITING_METHOD:
         count = cell.book.waiting_count(argument)
-        return ttypes.JobReply(status=_FOUND, body=str(count).encode())
+        return ttypes.JobReply(status=_STATUS_OK, body=str(count).encode())
     state = cell.status(JobId(argument))
     if state is None:
-        return ttypes.JobReply(status=_UNKNOWN, body=b'')
-    return ttypes.JobReply(status=_FOUND, body=state.value.encode())
+        return ttypes.JobReply(status=_STATUS_NOT_FOUND, body=b'')
+    return ttypes.JobReply(status=_STATUS_OK, body=state.value.encode())
--- a/src/marjoramwharf/cells/ownership.py
+++ b/src/marjoramwharf/cells/ownership.py
@@ -1,7 +1,7 @@
-"""Who owns a cell: a leased record in the store, taken by compare-and-swap.
+"""Ownership of cells: leased records in the store, set by compare-and-swap.
 
-The revision at which the record was created is the fence of the owner's
-orders; it rises with every take-over.
+The revision at which an owner wrote its record is the fence of its orders to
+workers. It rises with every change of owner.
 """
 
 from __future__ import annotations
@@ -35,19 +35,21 @@
 _LOG = part_logger('owner')
 _MS_PER_S = 1_000
 
-# Entries that saw the same record end don't all write at the same moment.
-_CAMPAIGN_SPREAD_S = 0.03
+# Upper limit of the random delay that keeps entries which see the same record
+# end from all writing at the same moment.
+_CAMPAIGN_JITTER_S = 0.03
 
-# An instance slower than a whole core leaves the cell to faster ones first.
-_SLOW_INSTANCE_PAUSE_S = 0.3
-_FAILED_PAUSE_S = 0.2
+# Delays the campaign of an instance with less than one core, so that a faster
+# one wins; scaled by the missing share of the core.
+_SLOW_INSTANCE_DELAY_S = 0.3
+_RETRY_PAUSE_S = 0.2
 _RENEWALS_PER_TTL = 4
-_RENEWAL_PAUSE_S = 0.1
+_RENEWAL_RETRY_PAUSE_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
-class KnownOwner:
-    """The owner of a cell, and the revision of its record."""
+class CurrentOwner:
+    """The owner of a cell and the revision of its record in the store."""
 
     record: EntryRecord
     revision: int
@@ -55,58 +57,60 @@
 
 @dataclass(slots=True)
 class OwnerView:
-    """The owners of all cells as the store tells them.
+    """Local copy of the owner records of all cells, updated by a watch.
 
-    ``gone`` has the revisions of records whose owner's process has ended; it
-    is not counted on for anything but an early campaign.
+    ``ended_revisions`` holds the revision of each record whose owner's process
+    appears to have ended. It is a hint that only starts a campaign early.
+    ``is_loaded`` is true once the records have been read.
     """
 
-    owners: dict[CellId, KnownOwner] = field(default_factory=dict)
-    gone: dict[CellId, int] = field(default_factory=dict)
-    is_known: bool = False
-    _changed: trio.Event = field(default_factory=trio.Event)
+    owners: dict[CellId, CurrentOwner] = field(default_factory=dict)
+    ended_revisions: dict[CellId, int] = field(default_factory=dict)
+    is_loaded: bool = False
+    _change_event: trio.Event = field(default_factory=trio.Event)
 
     async def apply(self, batch: WatchBatch) -> None:
-        """Take in changes of the owners' records."""
+        """Apply watch events of the owners' records."""
         if batch.restarted:
             self.owners.clear()
         for event in batch.events:
             cell = CellId(int(event.key.removeprefix(OWNERS_PREFIX)))
-            self.gone.pop(cell, None)
+            self.ended_revisions.pop(cell, None)
             if event.stored is None:
                 self.owners.pop(cell, None)
                 continue
             record = decode(event.stored.body, EntryRecord, key=event.key)
-            self.owners[cell] = KnownOwner(
+            self.owners[cell] = CurrentOwner(
                 record,
                 event.stored.mod_revision,
             )
-        self.is_known = True
-        self._notify()
+        self.is_loaded = True
+        self._notify_waiters()
 
-    def note_gone(self, known: KnownOwner) -> None:
-        """Note that the process of an owner has ended."""
-        for cell, present in self.owners.items():
-            if present == known and cell not in self.gone:
-                _LOG.warning('owner gone', owner=known.record.entry_id)
-                self.gone[cell] = known.revision
-                self._notify()
+    def mark_owner_ended(self, owner: CurrentOwner) -> None:
+        """Record that the process of an owner appears to have ended."""
+        for cell, listed_owner in self.owners.items():
+            if listed_owner == owner and cell not in self.ended_revisions:
+                _LOG.warning('owner process ended', owner=owner.record.entry_id)
+                self.ended_revisions[cell] = owner.revision
+                self._notify_waiters()
 
     async def wait_change(self) -> None:
-        """Wait for the next change."""
-        await self._changed.wait()
+        """Wait for the next change of the owners."""
+        await self._change_event.wait()
 
-    def _notify(self) -> None:
-        self._changed.set()
-        self._changed = trio.Event()
+    def _notify_waiters(self) -> None:
+        self._change_event.set()
+        self._change_event = trio.Event()
 
 
 @dataclass(slots=True)
 class Tenure:
-    """One ownership of a cell.
+    """One period of ownership of a cell.
 
-    ``valid_until_s`` is a time of the boot clock up to which no other entry
-    can have taken the record.
+    ``valid_until_s`` is a time of the boot clock. Before it the lease can't
+    have lapsed, so no other entry can have taken the record. Cancelling
+    ``scope`` ends the tenure.
     """
 
     cell: CellId
@@ -117,26 +121,26 @@
 
     @property
     def guard(self) -> Guard:
-        """The condition that the record is still this tenure's."""
+        """The condition that the record is still that of this tenure."""
         return Guard(owner_key(self.cell), self.revision)
 
     def is_current(self, now_s: float) -> bool:
-        """Whether the lease can't have ended yet."""
+        """Whether the lease is certain to be still valid."""
         return now_s < self.valid_until_s
 
 
-# Runs a cell during a tenure; cancelled when the tenure ends.
+# Runs a cell during a tenure; it is cancelled when the tenure ends.
 RunCell = Callable[[Tenure], Awaitable[None]]
 
 
 @dataclass(slots=True)
 class Campaign:
-    """Takes a cell whenever it has no owner, and keeps it.
+    """Makes this entry the owner whenever the cell has none, and keeps it so.
 
     The record of an owner whose process has ended is replaced before its
-    lease lapses. If that process lives after all, its next write is refused.
-    ``store`` should give up early, since a renewal that takes longer than the
-    lease is of no use.
+    lease lapses. If that process is alive after all, its next write is
+    refused. ``store`` should have a short timeout, since a renewal that takes
+    longer than the lease is of no use.
     """
 
     store: PollingStore
@@ -150,26 +154,26 @@
     is_withdrawn: bool = False
 
     async def run(self) -> None:
-        """Campaign until cancelled."""
+        """Campaign and run the cell in each tenure won, until cancelled."""
         while True:
             await self._wait_for_vacancy()
-            await trio.sleep(self._head_start_s())
-            replaced = self._replaceable_revision()
-            if replaced is None or self.is_withdrawn:
+            await trio.sleep(self._campaign_delay_s())
+            replaced_revision = self._replaceable_revision()
+            if replaced_revision is None or self.is_withdrawn:
                 continue
             try:
-                tenure = await self._take(replaced)
+                tenure = await self._acquire(replaced_revision)
             except Failure as failure:
-                _LOG.info('cell not taken', error=str(failure))
-                await trio.sleep(_FAILED_PAUSE_S)
+                _LOG.info('ownership not acquired', error=str(failure))
+                await trio.sleep(_RETRY_PAUSE_S)
                 continue
             if tenure is None:
-                await trio.sleep(_FAILED_PAUSE_S)
+                await trio.sleep(_RETRY_PAUSE_S)
             else:
-                await self._serve(tenure)
+                await self._run_tenure(tenure)
 
     async def withdraw(self) -> None:
-        """End the tenure, if there is one, and don't campaign again."""
+        """End the current tenure, if any, and stop campaigning for good."""
         self.is_withdrawn = True
         tenure = self.tenure
         if tenure is None:
@@ -178,60 +182,61 @@
         try:
             await self.store.revoke_lease(tenure.lease)
         except Failure as failure:
-            _LOG.info('lease not ended', error=str(failure))
+            _LOG.info('owner lease not revoked', error=str(failure))
 
     async def _wait_for_vacancy(self) -> None:
-        while self.is_withdrawn or not self.view.is_known:
-            await trio.sleep(_RENEWAL_PAUSE_S)
+        while self.is_withdrawn or not self.view.is_loaded:
+            await trio.sleep(_RENEWAL_RETRY_PAUSE_S)
         while self._replaceable_revision() is None:
             await self.view.wait_change()
 
     def _replaceable_revision(self) -> int | None:
-        """Return the revision of a record to replace, 0 if there is none.
+        """Return the revision of the record to replace, 0 if there is none.
 
-        Returns ``None`` while another owner may live. A record of this
-        instance is of an earlier process, or was left by a lost write.
+        Returns ``None`` while another owner may be alive. A record with this
+        entry's id can be replaced: an earlier process wrote it, or a write of
+        this process whose answer was lost.
         """
-        known = self.view.owners.get(self.cell)
-        if known is None:
+        owner = self.view.owners.get(self.cell)
+        if owner is None:
             return 0
-        is_ours = known.record.entry_id == self.record.entry_id
-        if is_ours or self.view.gone.get(self.cell) == known.revision:
-            return known.revision
+        is_own = owner.record.entry_id == self.record.entry_id
+        if is_own or self.view.ended_revisions.get(self.cell) == owner.revision:
+            return owner.revision
         return None
 
-    def _head_start_s(self) -> float:
-        spread_s = random.uniform(0, _CAMPAIGN_SPREAD_S)
+    def _campaign_delay_s(self) -> float:
+        jitter_s = random.uniform(0, _CAMPAIGN_JITTER_S)
         slowness = max(0, 1 - self.cpu_share)
-        return spread_s + _SLOW_INSTANCE_PAUSE_S * slowness
+        return jitter_s + _SLOW_INSTANCE_DELAY_S * slowness
 
-    async def _take(self, replaced: int) -> Tenure | None:
+    async def _acquire(self, replaced_revision: int) -> Tenure | None:
         sent_s = boot_s()
         lease = await self.store.grant_lease(self.ttl_ms)
         key = owner_key(self.cell)
         revision: int | None = None
         try:
             outcome = await self.store.commit(
-                [Guard(key, replaced)],
+                [Guard(key, replaced_revision)],
                 [Write(key, encode(self.record), lease)],
             )
         except StoreAnswerLost:
-            revision = await self._settle(key)
+            revision = await self._find_own_record(key)
         else:
             if isinstance(outcome, Committed):
                 revision = outcome.revision
         if revision is None:
             return None
-        until_s = sent_s + self.ttl_ms / _MS_PER_S
-        return Tenure(self.cell, lease, revision, until_s)
+        valid_until_s = sent_s + self.ttl_ms / _MS_PER_S
+        return Tenure(self.cell, lease, revision, valid_until_s)
 
-    async def _settle(self, key: str) -> int | None:
+    async def _find_own_record(self, key: str) -> int | None:
         stored = await self.store.read(key)
         if stored is None or stored.body != encode(self.record):
             return None
         return stored.mod_revision
 
-    async def _serve(self, tenure: Tenure) -> None:
+    async def _run_tenure(self, tenure: Tenure) -> None:
         _LOG.info(
             'ownership taken',
             cell=self.cell,
@@ -242,30 +247,30 @@
         try:
             with tenure.scope:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._keep, tenure)
-                    nursery.start_soon(self._watch, tenure)
+                    nursery.start_soon(self._renew_lease, tenure)
+                    nursery.start_soon(self._watch_record, tenure)
                     await self.run_cell(tenure)
-        except* NotOwner as lost:
-            _LOG.info('superseded', error=str(lost.exceptions[0]))
-        except* Failure as failed:
-            _LOG.warning('cell failed', error=repr(failed.exceptions[0]))
+        except* NotOwner as superseded_group:
+            _LOG.info('superseded', error=str(superseded_group.exceptions[0]))
+        except* Failure as failed_group:
+            _LOG.warning('cell failed', error=repr(failed_group.exceptions[0]))
         finally:
             self.tenure = None
         _LOG.info('ownership ended', cell=self.cell, fence=tenure.revision)
         if not self.is_withdrawn:
-            await self._release(tenure)
+            await self._release_lease(tenure)
 
-    async def _release(self, tenure: Tenure) -> None:
+    async def _release_lease(self, tenure: Tenure) -> None:
         self.view.owners.pop(self.cell, None)
-        with trio.move_on_after(_FAILED_PAUSE_S):
+        with trio.move_on_after(_RETRY_PAUSE_S):
             try:
                 await self.store.revoke_lease(tenure.lease)
             except Failure as failure:
-                _LOG.info('lease not ended', error=str(failure))
-        await trio.sleep(_FAILED_PAUSE_S)
+                _LOG.info('owner lease not revoked', error=str(failure))
+        await trio.sleep(_RETRY_PAUSE_S)
 
-    async def _keep(self, tenure: Tenure) -> None:
-        """Renew the lease; ends the tenure when it has lapsed."""
+    async def _renew_lease(self, tenure: Tenure) -> None:
+        """Renew the lease periodically; end the tenure when it has lapsed."""
         pause_s = self.ttl_ms / _MS_PER_S / _RENEWALS_PER_TTL
         is_failing = False
         while True:
@@ -277,7 +282,7 @@
                 if not is_failing:
                     _LOG.warning('lease not renewed', error=str(failure))
                 is_failing = True
-                pause_s = _RENEWAL_PAUSE_S
+                pause_s = _RENEWAL_RETRY_PAUSE_S
                 continue
             is_failing = False
             pause_s = self.ttl_ms / _MS_PER_S / _RENEWALS_PER_TTL
@@ -287,15 +292,17 @@
                 return
             tenure.valid_until_s = sent_s + self.ttl_ms / _MS_PER_S
 
-    async def _watch(self, tenure: Tenure) -> None:
-        """End the tenure when the store names another owner, or none."""
-        was_seen = False
+    async def _watch_record(self, tenure: Tenure) -> None:
+        """End the tenure when the store has another owner record, or none."""
+        was_own_record_seen = False
         while True:
             await self.view.wait_change()
-            known = self.view.owners.get(self.cell)
-            is_mine = known is not None and known.revision == tenure.revision
-            was_seen = was_seen or is_mine
-            if was_seen and not is_mine:
-                _LOG.warning('record taken away', cell=self.cell)
+            owner = self.view.owners.get(self.cell)
+            is_current_record = (
+                owner is not None and owner.revision == tenure.revision
+            )
+            was_own_record_seen = was_own_record_seen or is_current_record
+            if was_own_record_seen and not is_current_record:
+                _LOG.warning('owner record replaced or deleted', cell=self.cell)
                 tenure.scope.cancel()
                 return
--- a/src/marjoramwharf/cells/progress_writer.py
+++ b/src/marjoramwharf/cells/progress_writer.py
@@ -1,8 +1,8 @@
-"""Group commit of the progress of a cell's jobs.
+"""Group commit of the progress records of a cell's jobs.
 
 Every write is conditional on the owner's record and on the revision of each
-progress record, so that a late write of a former owner, or a lost write that
-the store carries out seconds later, changes nothing.
+progress record. A late write of a former owner, or a write whose answer was
+lost and which the store carries out seconds later, therefore changes nothing.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 import trio
 
+from marjoramwharf.cells.auto_reset_event import AutoResetEvent
 from marjoramwharf.cells.counters import CellCounters
 from marjoramwharf.cells.records import (
     CellId,
+    build_progress_record,
     encode,
     progress_key,
-    progress_of,
 )
-from marjoramwharf.cells.signals import Signal
 from marjoramwharf.errors import (
     Failure,
     NotOwner,
@@ -41,27 +41,27 @@
 
 _LOG = part_logger('progress')
 
-# The store takes 32 entries in one call: the owner's record, and a condition
-# and a value for each job.
+# The store takes 32 conditions and values in one call: one condition on the
+# owner's record, and a condition and a value for each job.
 _JOBS_PER_COMMIT = 15
 
-# Commits under way at a time, each for other jobs. More than one keeps a slow
-# store from delaying every job by several answers.
-_COMMITS_COUNT = 3
+# Number of commits in flight at a time, each for different jobs. With only one,
+# a slow store would delay every job by several round trips.
+_CONCURRENT_COMMITS_COUNT = 3
 
-# Changes that nothing waits for are collected for so long, so that one call
-# takes many of them.
-_COLLECTING_S = 0.15
+# Changes that nothing waits for are collected for this long, so that one call
+# writes many of them.
+_COLLECTION_S = 0.15
 
-_FIRST_PAUSE_S = 0.05
-_LONGEST_PAUSE_S = 0.5
+_INITIAL_PAUSE_S = 0.05
+_MAX_PAUSE_S = 0.5
 
 OnStored = Callable[[Job], None]
 
 
 @dataclass(frozen=True, slots=True)
 class _Snapshot:
-    """One version of a job's progress on its way to the store."""
+    """One version of a job's progress that is being written to the store."""
 
     job: Job
     version: int
@@ -71,10 +71,10 @@
 
 @dataclass(slots=True)
 class ProgressWriter:
-    """Writes what the book marks as unstored, in groups.
+    """Writes the progress of jobs with unstored changes, in groups.
 
     ``owner`` is the condition that this entry still owns the cell.
-    ``on_stored`` is called for each job after a version of it was stored.
+    ``on_stored`` is called for each job after one of its versions is stored.
     """
 
     store: PollingStore
@@ -86,48 +86,55 @@
     is_failing: bool = False
     _in_flight: set[JobId] = field(default_factory=set)
     _unanswered: dict[JobId, list[_Snapshot]] = field(default_factory=dict)
-    _signal: Signal = field(default_factory=Signal)
-    _collected_s: float = 0
+    _wake_event: AutoResetEvent = field(default_factory=AutoResetEvent)
+    _last_group_s: float = 0
 
     def wake(self) -> None:
-        """Note that the book has unstored jobs."""
-        self._signal.set()
+        """Wake the writer, since there are jobs with unstored changes."""
+        self._wake_event.set()
 
     async def run(self) -> None:
-        """Write until cancelled; raises ``NotOwner`` once superseded."""
+        """Write until cancelled.
+
+        Raises ``NotOwner`` when another entry has become the owner.
+        """
         async with trio.open_nursery() as nursery:
-            for _ in range(_COMMITS_COUNT):
-                nursery.start_soon(self._run_one)
+            for _ in range(_CONCURRENT_COMMITS_COUNT):
+                nursery.start_soon(self._run_committer)
 
     async def flush(self) -> None:
-        """Return when all changes up to now are stored."""
+        """Mark all changes as urgent, and return when no job is unstored."""
         while self.book.unstored:
             for job in self.book.unstored.values():
                 job.is_urgent = True
             self.wake()
             await trio.sleep(0.01)
 
-    async def _run_one(self) -> None:
-        pauses = Backoff(first_s=_FIRST_PAUSE_S, limit_s=_LONGEST_PAUSE_S)
+    async def _run_committer(self) -> None:
+        pauses = Backoff(first_s=_INITIAL_PAUSE_S, limit_s=_MAX_PAUSE_S)
         while True:
-            group = self._take()
+            group = self._next_group()
             if not group:
-                await self._signal.wait(timeout_s=_COLLECTING_S)
+                await self._wake_event.wait(timeout_s=_COLLECTION_S)
                 continue
-            self._signal.set()
-            names = {snapshot.job.job_id for snapshot in group}
-            self._in_flight |= names
+            self._wake_event.set()
+            job_ids = {snapshot.job.job_id for snapshot in group}
+            self._in_flight |= job_ids
             try:
-                failed = await self._commit(group)
+                has_failed = await self._commit(group)
             finally:
-                self._in_flight -= names
-            if failed:
+                self._in_flight -= job_ids
+            if has_failed:
                 await trio.sleep(pauses.next_s())
             else:
                 pauses.reset()
 
-    def _take(self) -> list[_Snapshot]:
-        """Return what goes into the next call, urgent changes first."""
+    def _next_group(self) -> list[_Snapshot]:
+        """Take snapshots of the jobs for the next commit, urgent ones first.
+
+        The result is empty until changes that aren't urgent have been
+        collected for long enough.
+        """
         waiting = [
             job
             for job_id, job in self.book.unstored.items()
@@ -135,14 +142,14 @@
         ]
         now_s = trio.current_time()
         has_urgent = any(job.is_urgent for job in waiting)
-        if not has_urgent and now_s - self._collected_s < _COLLECTING_S:
+        if not has_urgent and now_s - self._last_group_s < _COLLECTION_S:
             return []
-        self._collected_s = now_s
+        self._last_group_s = now_s
         waiting.sort(key=lambda job: not job.is_urgent)
-        return [_snapshot(job) for job in waiting[:_JOBS_PER_COMMIT]]
+        return [_take_snapshot(job) for job in waiting[:_JOBS_PER_COMMIT]]
 
     async def _commit(self, group: Sequence[_Snapshot]) -> bool:
-        """Write a group; tell whether that failed for now."""
+        """Write a group; return whether the call failed and needs a retry."""
         guards = [self.owner]
         writes: list[Write] = []
         for snapshot in group:
@@ -152,24 +159,24 @@
         began_s = trio.current_time()
         try:
             outcome = await self.store.commit(guards, writes)
-        except StoreAnswerLost as lost:
-            self._note_failure(lost, group)
+        except StoreAnswerLost as lost_answer:
+            self._record_failure(lost_answer, group)
             for unanswered in group:
                 job_id = unanswered.job.job_id
                 self._unanswered.setdefault(job_id, []).append(unanswered)
             return True
         except Failure as failure:
-            self._note_failure(failure, group)
+            self._record_failure(failure, group)
             return True
         if isinstance(outcome, Conflict):
-            self._resolve(group, outcome)
+            self._resolve_conflict(group, outcome)
             return False
         took_s = trio.current_time() - began_s
         self.counters.write_samples_s.append(took_s)
-        self._note_stored(group, outcome)
+        self._record_stored(group, outcome)
         return False
 
-    def _note_failure(
+    def _record_failure(
         self,
         failure: Failure,
         group: Sequence[_Snapshot],
@@ -180,7 +187,7 @@
             _LOG.warning('write failed', error=str(failure))
         self.is_failing = True
 
-    def _note_stored(
+    def _record_stored(
         self,
         group: Sequence[_Snapshot],
         outcome: Committed,
@@ -193,9 +200,9 @@
             len(snapshot.body) for snapshot in group
         )
         for snapshot in group:
-            self._adopt(snapshot, outcome.revision)
+            self._mark_stored(snapshot, outcome.revision)
 
-    def _adopt(self, snapshot: _Snapshot, revision: int) -> None:
+    def _mark_stored(self, snapshot: _Snapshot, revision: int) -> None:
         job = snapshot.job
         job.stored_revision = revision
         job.stored_version = max(job.stored_version, snapshot.version)
@@ -205,38 +212,40 @@
             self.book.unstored.pop(job.job_id, None)
         self.on_stored(job)
 
-    def _resolve(
+    def _resolve_conflict(
         self,
         group: Sequence[_Snapshot],
         conflict: Conflict,
     ) -> None:
-        """Settle a refused write by what the store holds.
+        """Resolve a refused write from the values that the store holds.
 
-        A value that equals an earlier write without an answer shows that the
-        earlier one was applied. Raises ``NotOwner`` if the owner's record is
-        not ours or another process wrote a progress record.
+        A stored value equal to an earlier write without an answer shows that
+        this write was applied. Raises ``NotOwner`` if the owner's record isn't
+        that of this entry, or if another process wrote a progress record.
         """
         found = {stored.key: stored for stored in conflict.found}
-        mine = found.get(self.owner.key)
-        if mine is None or mine.mod_revision != self.owner.mod_revision:
+        record = found.get(self.owner.key)
+        if record is None or record.mod_revision != self.owner.mod_revision:
             raise NotOwner(message=f'cell {self.cell} has another owner')
         for snapshot in group:
             key = progress_key(self.cell, snapshot.job.job_id)
-            self._settle(snapshot.job, found.get(key))
+            self._resolve_job(snapshot.job, found.get(key))
 
-    def _settle(self, job: Job, stored: StoredValue | None) -> None:
+    def _resolve_job(self, job: Job, stored: StoredValue | None) -> None:
         revision = 0 if stored is None else stored.mod_revision
         if revision == job.stored_revision:
             return
         body = b'' if stored is None else stored.body
         for snapshot in self._unanswered.get(job.job_id, ()):
             if snapshot.body == body:
-                _LOG.info('lost write was applied', job=job.job_id)
-                self._adopt(snapshot, revision)
+                _LOG.info('write without an answer was applied', job=job.job_id)
+                self._mark_stored(snapshot, revision)
                 return
         raise NotOwner(message=f'job {job.job_id} has another writer')
 
 
-def _snapshot(job: Job) -> _Snapshot:
+def _take_snapshot(job: Job) -> _Snapshot:
     job.is_urgent = False
-    return _Snapshot(job, job.version, job.phase, encode(progress_of(job)))
+    return _Snapshot(
+        job, job.version, job.phase, encode(build_progress_record(job))
+    )
--- a/src/marjoramwharf/cells/records.py
+++ b/src/marjoramwharf/cells/records.py
@@ -1,7 +1,7 @@
-"""Keys and values of a cell in the store.
+"""Keys and values under which a cell's state is stored.
 
 A job's request is written once, by the entry that accepts it. Its progress is
-written by the owner of the cell only, before the owner acts on it.
+written only by the owner of the cell, before the owner acts on it.
 
     >>> progress_key(CellId(0), JobId('5c0e7a21d94b36f8'))
     'mw/0/run/5c0e7a21d94b36f8'
@@ -34,7 +34,7 @@
 
 
 class EntryRecord(Struct, frozen=True, array_like=True):
-    """An entry, for one the owner of a cell, and where it takes messages."""
+    """An entry, such as the owner of a cell, and its address for messages."""
 
     entry_id: str
     host: str
@@ -43,7 +43,7 @@
 
 
 class RunRecord(Struct, frozen=True, array_like=True):
-    """A run that may be at work; ``born_ms`` is its worker's incarnation."""
+    """A run that has not ended; ``born_ms`` is its worker's incarnation."""
 
     number: int
     worker_id: str
@@ -52,7 +52,7 @@
 
 
 class TaskRecord(Struct, frozen=True, array_like=True):
-    """A task that has been started at least once."""
+    """State of a task for which at least one run has been planned."""
 
     occurrence: int
     step: int
@@ -65,13 +65,13 @@
 
 
 class ModelRecord(Struct, frozen=True, array_like=True):
-    """What the owner has learned of interference between images."""
+    """Weights of the interference between images that the owner learned."""
 
     weights: tuple[KnownWeight, ...] = ()
 
 
 class ProgressRecord(Struct, frozen=True, array_like=True):
-    """How far a job has come."""
+    """Progress of a job: its phase, open occurrences and tasks with runs."""
 
     phase: JobPhase
     has_begun: bool = False
@@ -91,7 +91,7 @@
 
 
 def inbox_prefix(cell: CellId) -> str:
-    """Prefix of what entries write for the owner of a cell."""
+    """Prefix of the requests and cancellations for the owner of a cell."""
     return f'mw/{cell}/in/'
 
 
@@ -101,12 +101,12 @@
 
 
 def cancel_key(cell: CellId, job_id: JobId) -> str:
-    """Key that exists once a job was cancelled."""
+    """Key that exists once a job has been cancelled."""
     return f'{inbox_prefix(cell)}cancel/{job_id}'
 
 
 def model_key(cell: CellId) -> str:
-    """Key of what the owner has learned."""
+    """Key of the interference model that the owner saves."""
     return f'mw/{cell}/model'
 
 
@@ -121,27 +121,30 @@
 
 
 def encode(record: Struct) -> bytes:
-    """Return the stored form of a record."""
+    """Serialize a record for the store."""
     return msgpack.encode(record)
 
 
-def decode(raw: bytes, model: type[_Model], *, key: str) -> _Model:
-    """Return the record of a stored value; raises ``JournalDamaged``."""
+def decode(raw: bytes, record_type: type[_Model], *, key: str) -> _Model:
+    """Deserialize a stored value.
+
+    Raises ``JournalDamaged`` with the key if the value can't be decoded.
+    """
     try:
-        return msgpack.decode(raw, type=model)
+        return msgpack.decode(raw, type=record_type)
     except (DecodeError, RecursionError, UnicodeError) as failure:
         raise JournalDamaged(message=f'{key}: {failure}') from failure
 
 
-def progress_of(job: Job) -> ProgressRecord:
-    """Return what has to be stored of a job."""
+def build_progress_record(job: Job) -> ProgressRecord:
+    """Return the progress record to store for a job."""
     return ProgressRecord(
         phase=job.phase,
         has_begun=job.has_begun,
         next_occurrence=job.next_occurrence,
         open_occurrences=tuple(job.occurrences),
         tasks=tuple(
-            _task_record(task) for task in job.tasks() if task.last_run
+            _build_task_record(task) for task in job.tasks() if task.last_run
         ),
     )
 
@@ -153,7 +156,10 @@
     revision: int,
     now_s: float,
 ) -> Job:
-    """Return a job as its record says; its runs are ``UNCERTAIN``."""
+    """Restore a job from its request and its progress record, if any.
+
+    The runs are ``UNCERTAIN`` until their workers report on them.
+    """
     job = Job(request, learned_s=now_s, finished_s=now_s)
     if progress is None:
         if not request.repeat_count:
@@ -173,7 +179,7 @@
     return job
 
 
-def _task_record(task: Task) -> TaskRecord:
+def _build_task_record(task: Task) -> TaskRecord:
     step = task.step
     return TaskRecord(
         occurrence=step.occurrence.number,
@@ -202,14 +208,14 @@
     task.failures_count = record.failures_count
     task.checkpoint = record.checkpoint
     task.has_begun = bool(record.last_run)
-    for stored in record.runs:
-        task.runs[stored.number] = Run(
+    for run_record in record.runs:
+        task.runs[run_record.number] = Run(
             task=task,
-            number=stored.number,
-            worker_id=WorkerId(stored.worker_id),
-            born_ms=stored.born_ms,
+            number=run_record.number,
+            worker_id=WorkerId(run_record.worker_id),
+            born_ms=run_record.born_ms,
             phase=RunPhase.UNCERTAIN,
             placed_s=now_s,
             moved_s=now_s,
-            saved=record.checkpoint,
+            checkpoint=record.checkpoint,
         )
--- a/src/marjoramwharf/cells/run_mover.py
+++ b/src/marjoramwharf/cells/run_mover.py
@@ -1,4 +1,4 @@
-"""Moves runs off workers that leave, hang or are slow."""
+"""Moves runs away from workers that leave or on which runs hang or are slow."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from marjoramwharf.cells.counters import CellCounters
-from marjoramwharf.cells.worker_board import WorkerBoard
+from marjoramwharf.cells.worker_registry import WorkerRegistry
 from marjoramwharf.logs import part_logger
 from marjoramwharf.scheduling.fleet import Worker
 from marjoramwharf.scheduling.job_state import Run
@@ -16,39 +16,40 @@
 
 _LOG = part_logger('cell')
 
-# A worker on which a run hangs or is slow gets new runs last for this long.
-_SUSPECT_S = 5.0
+# For this long, a worker on which a run hangs or is slow is the last choice for
+# new runs.
+_SUSPECT_DURATION_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class RunMover:
-    """Stops runs so that they start elsewhere, or doubles them.
+    """Stops runs so that they start elsewhere, or plans a duplicate run.
 
-    ``on_planned`` is called when a second run of a task was planned.
+    ``on_planned`` is called when a second run of a task has been planned.
     """
 
-    board: WorkerBoard
+    worker_registry: WorkerRegistry
     planner: Planner
     queue_of: Callable[[Run], QueuePolicy]
     counters: CellCounters
     on_planned: Callable[[], None]
 
     def move_all(self, *, now_s: float) -> None:
-        """Move what should not stay where it is."""
-        for worker in self.board.fleet.workers.values():
+        """Move each run that should leave its worker and has another place."""
+        for worker in self.worker_registry.fleet.workers.values():
             for rescue in tuple(find_rescues(worker, now_s=now_s)):
-                self._move(rescue, worker, now_s)
+                self._move_run(rescue, worker, now_s)
 
-    def _move(self, rescue: Rescue, worker: Worker, now_s: float) -> None:
+    def _move_run(self, rescue: Rescue, worker: Worker, now_s: float) -> None:
         run = rescue.run
         service = self.queue_of(run).service
         if rescue.trouble is not Trouble.LEAVING:
-            worker.suspect_until_s = now_s + _SUSPECT_S
+            worker.suspect_until_s = now_s + _SUSPECT_DURATION_S
             run.task.failed_workers.add(worker.worker_id)
         if not self.planner.has_place(run.task, service, now_s=now_s):
             return
-        may_double = run.step.may_duplicate and not run.step.is_lasting
-        if may_double and len(run.task.runs) > 1:
+        may_duplicate = run.step.may_duplicate and not run.step.is_lasting
+        if may_duplicate and len(run.task.runs) > 1:
             return
         _LOG.info(
             'run moved',
@@ -57,11 +58,11 @@
             worker=run.worker_id,
             trouble=rescue.trouble.value,
             percent=run.percent,
-            doubled=may_double,
+            doubled=may_duplicate,
         )
         self.counters.moved_runs_count += 1
-        if may_double:
+        if may_duplicate:
             self.planner.duplicate(run.task, service, now_s=now_s)
             self.on_planned()
         else:
-            self.board.stop(run)
+            self.worker_registry.stop(run)
--- a/src/marjoramwharf/cells/worker_clock.py
+++ b/src/marjoramwharf/cells/worker_clock.py
@@ -1,7 +1,7 @@
-"""A worker's own clock, as far as its answers tell.
+"""Estimate of a worker's own clock from the times in its answers.
 
-Leases are times of that clock, which may run slow. The estimate is a lower
-bound, so that a lease is never taken for ended too early.
+Leases end at times of that clock, which may run slow. The estimate is a lower
+bound, so that a lease is never considered ended too early.
 """
 
 from __future__ import annotations
@@ -10,21 +10,21 @@
 
 _MS_PER_S = 1_000
 
-# The worker's clock may run this much slower than ours.
-_SLOWEST_RATE = 0.98
+# Lowest rate of the worker's clock relative to the clock of this entry.
+_MIN_CLOCK_RATE = 0.98
 
-# A clock that reads this much less than expected was started anew.
-_RESTART_MS = 1_000
+# A clock that reads this much less than expected has been restarted.
+_RESTART_THRESHOLD_MS = 1_000
 
 
 @dataclass(slots=True)
 class WorkerClock:
-    """The latest reading and the end of the longest lease given out.
+    """The latest reading of a worker's clock, and the latest end of its leases.
 
     >>> clock = WorkerClock()
-    >>> clock.note(5_000, now_s=10)
+    >>> clock.update(5_000, now_s=10)
     True
-    >>> clock.least_ms(now_s=20)
+    >>> clock.lower_bound_ms(now_s=20)
     14800.0
     """
 
@@ -32,42 +32,46 @@
     read_s: float = 0
     lease_end_ms: int = 0
 
-    def note(self, clock_ms: int, *, now_s: float) -> bool:
-        """Take in a reading; tell whether the clock went on from the last.
+    def update(self, clock_ms: int, *, now_s: float) -> bool:
+        """Apply a reading; return whether the clock is the same as before.
 
-        A reading that arrives late is older than it looks; the estimate only
-        rises, so such a reading changes nothing.
+        ``False`` means that the clock has been restarted. A reading that
+        arrives late is below the estimate; it changes nothing, since the
+        estimate only rises.
         """
-        expected_ms = self.least_ms(now_s=now_s)
+        expected_ms = self.lower_bound_ms(now_s=now_s)
         if expected_ms is None or clock_ms >= expected_ms:
             self.reading_ms = clock_ms
             self.read_s = now_s
             return True
-        return clock_ms > expected_ms - _RESTART_MS
+        return clock_ms > expected_ms - _RESTART_THRESHOLD_MS
 
-    def restart(self, clock_ms: int, *, now_s: float) -> None:
-        """Start over with the clock of another incarnation."""
+    def reset(self, clock_ms: int, *, now_s: float) -> None:
+        """Set the estimate to the clock of another incarnation."""
         self.reading_ms = clock_ms
         self.read_s = now_s
         self.lease_end_ms = 0
 
-    def least_ms(self, *, now_s: float) -> float | None:
-        """Return the least that the clock can read now."""
+    def lower_bound_ms(self, *, now_s: float) -> float | None:
+        """Return the lowest time that the clock can show now."""
         if self.reading_ms is None:
             return None
-        passed_ms = max(0, now_s - self.read_s) * _MS_PER_S
-        return self.reading_ms + passed_ms * _SLOWEST_RATE
+        elapsed_ms = max(0, now_s - self.read_s) * _MS_PER_S
+        return self.reading_ms + elapsed_ms * _MIN_CLOCK_RATE
 
-    def grant(self, length_ms: int, *, now_s: float) -> int | None:
-        """Return the end of a lease that starts now, on the worker's clock."""
+    def grant_lease(self, duration_ms: int, *, now_s: float) -> int | None:
+        """Grant a lease from now on; return its end on the worker's clock.
+
+        Returns ``None`` while the clock has not been read.
+        """
         if self.reading_ms is None:
             return None
-        passed_ms = max(0, now_s - self.read_s) * _MS_PER_S
-        end_ms = round(self.reading_ms + passed_ms) + length_ms
+        elapsed_ms = max(0, now_s - self.read_s) * _MS_PER_S
+        end_ms = round(self.reading_ms + elapsed_ms) + duration_ms
         self.lease_end_ms = max(self.lease_end_ms, end_ms)
         return end_ms
 
     def has_lapsed(self, *, now_s: float) -> bool:
-        """Whether every lease given out has surely ended."""
-        least_ms = self.least_ms(now_s=now_s)
-        return least_ms is not None and least_ms > self.lease_end_ms
+        """Whether every granted lease has certainly ended."""
+        lower_bound_ms = self.lower_bound_ms(now_s=now_s)
+        return lower_bound_ms is not None and lower_bound_ms > self.lease_end_ms
--- a/src/marjoramwharf/cells/worker_link.py
+++ b/src/marjoramwharf/cells/worker_link.py
@@ -1,8 +1,8 @@
-"""The connection of a cell's owner to one worker.
+"""Link from a cell's owner to one worker: leases of runs and their reports.
 
-One task holds the worker: it extends the leases of all runs there, reads what
-runs and what ended, and notes the ends that are stored. Orders to start, stop
-or pace a run are in ``worker_orders``.
+One task holds the worker with long polls. Each poll extends the leases of all
+runs there, acknowledges the ends that are stored, and returns the running and
+the ended runs. Orders to start, stop or pace a run are in ``worker_orders``.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import trio
 
 from marjoramwharf.cells.clocks import boot_s
-from marjoramwharf.cells.link_parts import LinkOwner, LinkTerms
+from marjoramwharf.cells.link_context import LinkContext, LinkOwner
 from marjoramwharf.cells.worker_clock import WorkerClock
 from marjoramwharf.cells.worker_messages import (
     EndReport,
@@ -31,114 +31,119 @@
 
 _LOG = part_logger('worker')
 
-# How long a worker with runs, and one without, is asked to wait for an end.
+# The longest time for which a worker with runs, and one without, delays its
+# answer to a poll until a run ends.
 _BUSY_WAIT_MS = 1_000
 _IDLE_WAIT_MS = 2_000
 
-# The wait while a tail is over its target or filling work is paused.
+# The same while a tail latency is over its target or filling work is paused.
 _URGENT_WAIT_MS = 400
 
-# The answer of a hold may come this much after its wait is over.
-_HOLD_SLACK_S = 1.0
+# The answer to a poll may arrive this much after its wait is over.
+_HOLD_TIMEOUT_MARGIN_S = 1.0
 _UNREACHABLE_PAUSE_S = 0.2
 
-# An end that is not stored by then is returned by the worker again.
-_NOTE_WAIT_S = 0.4
+# The next poll waits up to this time until the reported ends are stored. The
+# worker reports any end that is not acknowledged by then again.
+_ACKNOWLEDGEMENT_WAIT_S = 0.4
 
 _STOP_TIMEOUT_S = 0.5
 
-# An order without an answer may be carried out until this much later.
-_LATE_ORDER_S = 13.0
+# An order without an answer may still be carried out for this long.
+_LATE_ORDER_WINDOW_S = 13.0
 
 
 @dataclass(slots=True, eq=False)
 class WorkerLink:
-    """Holds one worker for the owner of its cell.
+    """Holds one worker for the owner of its cell by polling it.
 
-    ``noted_end`` is the last end that
-    is stored, and ``taken_end`` the last that was taken in. ``is_urgent``
-    asks for frequent looks.
+    ``acknowledged_end`` is the number of the last end that is stored, and
+    ``processed_end`` that of the last end that was processed. ``is_urgent``
+    requests frequent polls.
     """
 
     worker: Worker
     owner: LinkOwner
-    terms: LinkTerms
+    context: LinkContext
     clock: WorkerClock = field(default_factory=WorkerClock)
     orders: WorkerOrders = field(init=False)
-    noted_end: int = 0
-    taken_end: int = 0
-    looks_count: int = 0
+    acknowledged_end: int = 0
+    processed_end: int = 0
+    polls_count: int = 0
     is_urgent: bool = False
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    _unnoted: deque[tuple[int, Job | None, int]] = field(
+    _unacknowledged_ends: deque[tuple[int, Job | None, int]] = field(
         default_factory=deque,
     )
-    _noted: trio.Event = field(default_factory=trio.Event)
-    _strays: dict[tuple[TaskId, int], float] = field(default_factory=dict)
+    _ends_acknowledged: trio.Event = field(default_factory=trio.Event)
+    _unknown_stops_s: dict[tuple[TaskId, int], float] = field(
+        default_factory=dict
+    )
 
     def __post_init__(self) -> None:
-        """Share the clock with the orders."""
+        """Create the orders, which share the clock with this link."""
         self.orders = WorkerOrders(
             self.worker,
             self.owner,
-            self.terms,
+            self.context,
             self.clock,
         )
 
     async def run(self) -> None:
-        """Hold the worker until cancelled."""
+        """Poll the worker until cancelled."""
         with self.scope:
             async with trio.open_nursery() as nursery:
                 while True:
-                    await self._hold_once(nursery)
+                    await self._poll_once(nursery)
 
-    def note_stored(self) -> None:
-        """Let the worker forget the ends that are stored by now."""
-        while self._unnoted:
-            number, job, version = self._unnoted[0]
+    def acknowledge_stored_ends(self) -> None:
+        """Acknowledge the ends of runs that are stored by now, in order."""
+        while self._unacknowledged_ends:
+            number, job, version = self._unacknowledged_ends[0]
             if job is not None and job.stored_version < version:
                 return
-            self.noted_end = number
-            self._unnoted.popleft()
-        self._noted.set()
+            self.acknowledged_end = number
+            self._unacknowledged_ends.popleft()
+        self._ends_acknowledged.set()
 
-    async def _hold_once(self, nursery: trio.Nursery) -> None:
-        if not self.owner.may_hold():
+    async def _poll_once(self, nursery: trio.Nursery) -> None:
+        if not self.owner.may_extend_leases():
             await trio.sleep(_UNREACHABLE_PAUSE_S)
             return
         sent_s = boot_s()
         wait_ms = self._wait_ms()
-        report = await self.terms.calls.hold(
+        report = await self.context.worker_client.hold(
             self.orders.address,
             HoldOrder(
-                fence=self.terms.fence,
-                noted_end=self.noted_end,
+                fence=self.context.fence,
+                acknowledged_end=self.acknowledged_end,
                 expires_ms=self._lease_end_ms(sent_s),
                 wait_ms=wait_ms,
             ),
-            timeout_s=wait_ms / 1_000 + _HOLD_SLACK_S,
+            timeout_s=wait_ms / 1_000 + _HOLD_TIMEOUT_MARGIN_S,
         )
-        self.looks_count += 1
+        self.polls_count += 1
         if report.outcome is OrderOutcome.ACCEPTED:
-            self._take_in(report, sent_s, nursery)
-            self.owner.looked(self.worker.worker_id)
-            await self._wait_for_notes()
+            self._process_report(report, sent_s, nursery)
+            self.owner.on_polled(self.worker.worker_id)
+            await self._wait_for_acknowledgements()
         elif report.outcome is OrderOutcome.FENCED:
-            self.owner.superseded()
+            self.owner.on_superseded()
             await trio.sleep(_UNREACHABLE_PAUSE_S)
         else:
-            self._unreachable(report.outcome)
+            self._record_unreachable(report.outcome)
             await trio.sleep(_UNREACHABLE_PAUSE_S)
 
     def _lease_end_ms(self, now_s: float) -> int | None:
-        """Return the end of the next lease.
+        """Return the end of the lease to grant with the next poll.
 
-        A hold without an answer may be carried out, so a worker that doesn't
-        answer gets no longer lease: its runs then end at a known time.
+        A poll without an answer may have been carried out. A worker that
+        doesn't answer therefore gets no longer lease, so that its runs end at
+        a known time.
         """
         if not self.worker.is_reachable:
             return None
-        return self.clock.grant(self.terms.hold_ms, now_s=now_s)
+        return self.clock.grant_lease(self.context.hold_ms, now_s=now_s)
 
     def _wait_ms(self) -> int:
         if self.clock.reading_ms is None or not self.worker.is_reachable:
@@ -147,14 +152,14 @@
             return _URGENT_WAIT_MS
         return _BUSY_WAIT_MS if self.worker.runs else _IDLE_WAIT_MS
 
-    async def _wait_for_notes(self) -> None:
-        if not self._unnoted:
+    async def _wait_for_acknowledgements(self) -> None:
+        if not self._unacknowledged_ends:
             return
-        self._noted = trio.Event()
-        with trio.move_on_after(_NOTE_WAIT_S):
-            await self._noted.wait()
+        self._ends_acknowledged = trio.Event()
+        with trio.move_on_after(_ACKNOWLEDGEMENT_WAIT_S):
+            await self._ends_acknowledged.wait()
 
-    def _unreachable(self, outcome: OrderOutcome) -> None:
+    def _record_unreachable(self, outcome: OrderOutcome) -> None:
         now_s = boot_s()
         if self.worker.is_reachable:
             _LOG.warning(
@@ -163,149 +168,153 @@
                 outcome=outcome.value,
             )
         self.worker.is_reachable = False
-        gone = outcome is OrderOutcome.OTHER_WORKER
-        if gone or self.clock.has_lapsed(now_s=now_s):
+        is_replaced = outcome is OrderOutcome.OTHER_WORKER
+        if is_replaced or self.clock.has_lapsed(now_s=now_s):
             self._drop_runs()
 
     def _drop_runs(self) -> None:
         """End the runs of a worker on which nothing can run any more."""
         for run in tuple(self.worker.runs):
-            self.owner.run_ended(run, RunEnd.VANISHED, run.saved)
+            self.owner.end_run(run, RunEnd.VANISHED, run.checkpoint)
 
-    def _take_in(
+    def _process_report(
         self,
         report: HoldReport,
         sent_s: float,
         nursery: trio.Nursery,
     ) -> None:
         now_s = boot_s()
-        self._recognise(report, now_s, nursery)
+        self._detect_restart(report, now_s, nursery)
         if not self.worker.is_reachable:
             _LOG.info('worker reached', worker=self.worker.worker_id)
         self.worker.is_reachable = True
         self.worker.looked_s = now_s
         for ended in report.ended:
-            self._take_end(ended)
-        self.note_stored()
-        for row in report.running:
-            self._take_running(row, now_s, nursery)
-        present = {(row.task, row.run) for row in report.running}
+            self._process_end(ended)
+        self.acknowledge_stored_ends()
+        for run_report in report.running:
+            self._process_running(run_report, now_s, nursery)
+        reported = {
+            (run_report.task, run_report.run) for run_report in report.running
+        }
         for run in tuple(self.worker.runs):
-            if (run.task.name, run.number) not in present:
-                self._take_absence(run, sent_s)
+            if (run.task.name, run.number) not in reported:
+                self._process_missing_run(run, sent_s)
 
-    def _recognise(
+    def _detect_restart(
         self,
         report: HoldReport,
         now_s: float,
         nursery: trio.Nursery,
     ) -> None:
-        """Notice another incarnation under the same id."""
+        """Detect a new incarnation and end the runs that it doesn't report."""
         clock_ms = report.clock_ms or 0
-        known = self.worker.born_ms
-        goes_on = self.clock.note(clock_ms, now_s=now_s)
+        known_born_ms = self.worker.born_ms
+        is_same_clock = self.clock.update(clock_ms, now_s=now_s)
         self.worker.born_ms = report.born_ms
-        if known in {0, report.born_ms} and goes_on:
+        if known_born_ms in {0, report.born_ms} and is_same_clock:
             return
         _LOG.warning(
             'worker restarted',
             worker=self.worker.worker_id,
             born_ms=report.born_ms,
         )
-        self.clock.restart(clock_ms, now_s=now_s)
-        self.noted_end = 0
-        self.taken_end = 0
-        self._unnoted.clear()
-        present = {(row.task, row.run) for row in report.running}
+        self.clock.reset(clock_ms, now_s=now_s)
+        self.acknowledged_end = 0
+        self.processed_end = 0
+        self._unacknowledged_ends.clear()
+        reported = {
+            (run_report.task, run_report.run) for run_report in report.running
+        }
         for run in tuple(self.worker.runs):
-            if (run.task.name, run.number) not in present:
-                self._lose(run, now_s, nursery)
+            if (run.task.name, run.number) not in reported:
+                self._end_lost(run, now_s, nursery)
 
-    def _lose(self, run: Run, now_s: float, nursery: trio.Nursery) -> None:
+    def _end_lost(self, run: Run, now_s: float, nursery: trio.Nursery) -> None:
         """End a run of a former incarnation.
 
-        A late order could still start it at the new one, so a run whose order
-        had no answer is stopped there first.
+        A late order could still start the run at the new incarnation, so a run
+        whose order had no answer is stopped there first.
         """
         if run.phase is RunPhase.PLANNED:
             return
-        if run.is_doubtful and now_s - run.placed_s < _LATE_ORDER_S:
+        if run.is_doubtful and now_s - run.placed_s < _LATE_ORDER_WINDOW_S:
             run.phase = RunPhase.ORDERED
             run.stop_answered_s = None
             nursery.start_soon(self.orders.stop, run)
         else:
-            self.owner.run_ended(run, RunEnd.VANISHED, '')
+            self.owner.end_run(run, RunEnd.VANISHED, '')
 
-    def _take_end(self, ended: EndReport) -> None:
-        if ended.number <= self.taken_end:
+    def _process_end(self, ended: EndReport) -> None:
+        if ended.number <= self.processed_end:
             return
-        self.taken_end = ended.number
+        self.processed_end = ended.number
         run = self.owner.find_run(ended.task, ended.run)
         if run is None or run.worker_id != self.worker.worker_id:
-            self._unnoted.append((ended.number, None, 0))
+            self._unacknowledged_ends.append((ended.number, None, 0))
             return
-        job = self.owner.run_ended(run, ended.how, ended.saved)
-        self._unnoted.append((ended.number, job, job.version))
+        job = self.owner.end_run(run, ended.how, ended.checkpoint)
+        self._unacknowledged_ends.append((ended.number, job, job.version))
 
-    def _take_running(
+    def _process_running(
         self,
-        row: RunReport,
+        run_report: RunReport,
         now_s: float,
         nursery: trio.Nursery,
     ) -> None:
-        run = self.owner.find_run(row.task, row.run)
+        run = self.owner.find_run(run_report.task, run_report.run)
         if run is None or run.worker_id != self.worker.worker_id:
-            self._stop_stray(row, now_s, nursery)
+            self._stop_unknown_run(run_report, now_s, nursery)
             return
         if run.phase in {RunPhase.ORDERED, RunPhase.UNCERTAIN}:
-            self.owner.run_started(run)
+            self.owner.on_run_started(run)
         run.read_s = now_s
         if not run.is_seen:
             run.is_seen = True
-            run.resumed_percent = row.percent
+            run.resumed_percent = run_report.percent
             run.moved_s = now_s
-        if row.percent != run.percent:
-            run.percent = row.percent
+        if run_report.percent != run.percent:
+            run.percent = run_report.percent
             run.moved_s = now_s
-        run.reading = row.reading
-        run.saved = row.saved or run.saved
+        run.reading = run_report.reading
+        run.checkpoint = run_report.checkpoint or run.checkpoint
 
-    def _stop_stray(
+    def _stop_unknown_run(
         self,
-        row: RunReport,
+        run_report: RunReport,
         now_s: float,
         nursery: trio.Nursery,
     ) -> None:
-        """Stop a run that the cell knows nothing of."""
-        key = (row.task, row.run)
-        if now_s - self._strays.get(key, 0) < 1:
+        """Stop a run that the cell doesn't know, at most once a second."""
+        key = (run_report.task, run_report.run)
+        if now_s - self._unknown_stops_s.get(key, 0) < 1:
             return
-        self._strays[key] = now_s
+        self._unknown_stops_s[key] = now_s
         _LOG.warning(
-            'stray run',
-            task=row.task,
-            run=row.run,
+            'stopping unknown run',
+            task=run_report.task,
+            run=run_report.run,
             worker=self.worker.worker_id,
         )
-        nursery.start_soon(self._send_stray_stop, row)
+        nursery.start_soon(self._send_unknown_run_stop, run_report)
 
-    async def _send_stray_stop(self, row: RunReport) -> None:
-        await self.terms.calls.stop(
+    async def _send_unknown_run_stop(self, run_report: RunReport) -> None:
+        await self.context.worker_client.stop(
             self.orders.address,
-            StopOrder(row.task, row.run, self.terms.fence),
+            StopOrder(run_report.task, run_report.run, self.context.fence),
             timeout_s=_STOP_TIMEOUT_S,
         )
 
-    def _take_absence(self, run: Run, sent_s: float) -> None:
-        """End a run that neither runs nor ended at the time of a look."""
-        if not _is_over(run, sent_s, self.terms.stop_ms):
+    def _process_missing_run(self, run: Run, sent_s: float) -> None:
+        """End a run that the worker reports neither as running nor ended."""
+        if not _has_certainly_ended(run, sent_s, self.context.stop_ms):
             return
         if run.phase is RunPhase.RUNNING:
             _LOG.warning('run vanished', task=run.task.name, run=run.number)
-        self.owner.run_ended(run, RunEnd.VANISHED, run.saved)
+        self.owner.end_run(run, RunEnd.VANISHED, run.checkpoint)
 
 
-def _is_over(run: Run, sent_s: float, stop_ms: int) -> bool:
+def _has_certainly_ended(run: Run, sent_s: float, stop_ms: int) -> bool:
     if run.phase is RunPhase.UNCERTAIN:
         return True
     if run.phase is RunPhase.RUNNING:
--- a/src/marjoramwharf/cells/worker_messages.py
+++ b/src/marjoramwharf/cells/worker_messages.py
@@ -1,4 +1,4 @@
-"""Orders to a worker and what it answers, in the project's own terms."""
+"""Orders to workers and their answers, independent of the wire format."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 
 @enum.unique
 class OrderOutcome(enum.Enum):
-    """What became of an order.
-
-    ``ACCEPTED`` also means that the run was there already. ``FENCED``: a
-    higher fence was seen. ``RUN_TOO_OLD``: this run or a later one ended or
-    was stopped there. ``TOO_LATE``: its lease had ended on arrival.
-    ``BUSY``: the worker was unhealthy and did nothing. ``OTHER_WORKER``: the
-    address belongs to another incarnation. ``UNKNOWN``: no answer; the order
-    may be carried out, even seconds later. ``NOT_SENT``: it never left.
+    """Outcome of an order to a worker.
+
+    ``ACCEPTED`` also means that the run was there already. ``FENCED``: the
+    worker has seen a higher fence. ``RUN_TOO_OLD``: this run or a later one of
+    its task ended or was stopped there. ``TOO_LATE``: the lease in the order
+    had ended on arrival. ``BUSY``: the worker was unhealthy and did nothing.
+    ``OTHER_WORKER``: the address belongs to another incarnation. ``UNKNOWN``:
+    there was no answer; the order may be carried out, even seconds later.
+    ``NOT_SENT``: the order was not sent.
     """
 
     ACCEPTED = 'accepted'
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerAddress:
-    """One incarnation of a worker, where it listens."""
+    """Id of a worker and the address at which it listens."""
 
     worker_id: WorkerId
     host: str
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopOrder:
-    """Stops a run and refuses it from then on."""
+    """Stops a run; the worker refuses to start it from then on."""
 
     task: TaskId
     run: int
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PaceOrder:
-    """Lets a run work at a share of its speed, 0 to 100 percent."""
+    """Limits a run to a share of its full speed, 0 to 100 percent."""
 
     task: TaskId
     run: int
@@ -79,21 +80,23 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldOrder:
-    """Extends the lease of all runs and asks for what ended.
+    """Extends the leases of all runs at a worker and polls for ended runs.
 
-    ``noted_end`` is the last end that may be forgotten. The worker answers
-    after ``wait_ms`` or when a run ends.
+    ``acknowledged_end`` is the number of the last end that the worker may
+    forget. The worker answers after ``wait_ms`` or when a run ends.
+    ``expires_ms`` is a time of the worker's own clock; ``None`` extends no
+    lease.
     """
 
     fence: int
-    noted_end: int
+    acknowledged_end: int
     expires_ms: int | None
     wait_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class OrderAnswer:
-    """The outcome of an order; ``clock_ms`` is the worker's own clock."""
+    """Outcome of an order, and the time of the worker's own clock."""
 
     outcome: OrderOutcome
     clock_ms: int | None = None
@@ -101,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunReport:
-    """A run that is at work.
+    """Report on a running run.
 
     ``reading`` is the tail latency in ms of a task that serves, and the
     processors in use (millicores) of any other.
@@ -109,25 +112,25 @@
 
     task: TaskId
     run: int
-    saved: str
+    checkpoint: str
     percent: int
     reading: int
 
 
 @dataclass(frozen=True, slots=True)
 class EndReport:
-    """A run that ended; ``number`` counts the ends of one incarnation."""
+    """Report on an ended run; ``number`` counts the ends of an incarnation."""
 
     number: int
     task: TaskId
     run: int
     how: RunEnd
-    saved: str
+    checkpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class HoldReport:
-    """All runs of a worker, and the ends that were not noted yet."""
+    """All runs of a worker, and the ends that are not acknowledged yet."""
 
     outcome: OrderOutcome
     clock_ms: int | None = None
@@ -136,8 +139,8 @@
     ended: Sequence[EndReport] = ()
 
 
-class WorkerCalls(Protocol):
-    """Calls to workers; each returns an outcome and raises nothing."""
+class WorkerClient(Protocol):
+    """Client of workers; each call returns an outcome and raises nothing."""
 
     async def start(
         self,
@@ -173,4 +176,4 @@
         *,
         timeout_s: float,
     ) -> HoldReport:
-        """Extend the leases and look."""
+        """Extend the leases of all runs and report on them."""
--- a/src/marjoramwharf/cells/worker_board.py
+++ b/src/marjoramwharf/cells/worker_registry.py
@@ -1,4 +1,4 @@
-"""The workers of a cell: from the platform's list to links and pacing."""
+"""Registry of a cell's workers, each with a link and a pace controller."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import trio
 
 from marjoramwharf.cells.clocks import boot_s
-from marjoramwharf.cells.link_parts import LinkOwner, LinkTerms
+from marjoramwharf.cells.link_context import LinkContext, LinkOwner
 from marjoramwharf.cells.worker_link import WorkerLink
 from marjoramwharf.errors import Failure
 from marjoramwharf.ids import WorkerId
@@ -34,13 +34,13 @@
 
 
 @dataclass(slots=True)
-class WorkerBoard:
-    """Keeps a link and a pace keeper for each listed worker.
+class WorkerRegistry:
+    """Tracks the workers that the platform lists and runs a link to each.
 
-    ``harm_s`` is the time for which a tail may be over its target, and
-    ``drain_ms`` how long a worker drains that doesn't say so. ``decode``
-    raises a ``Failure`` for an entry that names no worker, and
-    ``on_change`` is called when workers come, go or change.
+    ``harm_s`` is the time for which a tail latency may be over its target.
+    ``drain_ms`` is assumed for a draining worker that doesn't state how much
+    time it has left. ``decode`` raises a ``Failure`` for an entry that names
+    no worker, and ``on_change`` is called when workers come, go or change.
     """
 
     prefix: str
@@ -48,39 +48,39 @@
     book: JobBook
     model: InterferenceModel
     owner: LinkOwner
-    terms: LinkTerms
+    context: LinkContext
     harm_s: float
     drain_ms: int
     on_change: Callable[[], None]
     fleet: Fleet = field(default_factory=Fleet)
     links: dict[WorkerId, WorkerLink] = field(default_factory=dict)
-    _keepers: dict[WorkerId, PaceKeeper] = field(default_factory=dict)
+    _pace_controllers: dict[WorkerId, PaceKeeper] = field(default_factory=dict)
     _learners: dict[WorkerId, ReadingLearner] = field(default_factory=dict)
     _nursery: trio.Nursery | None = None
 
     def attach(self, nursery: trio.Nursery) -> None:
-        """Run links and orders in a nursery from now on."""
+        """Set the nursery in which links and orders run."""
         self._nursery = nursery
 
     async def apply(self, batch: WatchBatch) -> None:
-        """Take in changes of the list."""
-        named: set[WorkerId] = set()
+        """Apply watch events of the platform's list of workers."""
+        listed: set[WorkerId] = set()
         for event in batch.events:
             worker_id = WorkerId(event.key.removeprefix(self.prefix))
-            listing = self._listing_of(event)
+            listing = self._decode_event(event)
             if listing is None:
-                self._take_gone(worker_id)
+                self._mark_gone(worker_id)
             else:
-                named.add(worker_id)
-                self._take_listing(listing)
+                listed.add(worker_id)
+                self._apply_listing(listing)
         if batch.restarted:
-            for known in tuple(self.fleet.workers):
-                if known not in named:
-                    self._take_gone(known)
+            for tracked_id in tuple(self.fleet.workers):
+                if tracked_id not in listed:
+                    self._mark_gone(tracked_id)
         self.on_change()
 
     def start(self, run: Run) -> bool:
-        """Order a run; tell whether its worker is known."""
+        """Send the start order of a run; return whether its worker is known."""
         link = self.links.get(run.worker_id)
         if link is None or self._nursery is None:
             return False
@@ -88,18 +88,18 @@
         return True
 
     def stop(self, run: Run) -> None:
-        """Stop a run, if its worker is known."""
+        """Send the stop order of a run if its worker is known."""
         link = self.links.get(run.worker_id)
         if link is not None and self._nursery is not None:
             self._nursery.start_soon(link.orders.stop, run)
 
-    def note_stored(self) -> None:
-        """Let workers forget the ends that are stored by now."""
+    def acknowledge_stored_ends(self) -> None:
+        """Acknowledge the ends of runs that are stored by now."""
         for link in self.links.values():
-            link.note_stored()
+            link.acknowledge_stored_ends()
 
     def release(self, run: Run, how: RunEnd, *, now_s: float) -> None:
-        """Free the room of a run that has ended."""
+        """Free the resources of a run that has ended and learn from its end."""
         worker = self.fleet.workers.get(run.worker_id)
         if worker is None:
             return
@@ -111,15 +111,15 @@
                 now_s=now_s,
             )
 
-    def pace(self, worker_id: WorkerId) -> None:
-        """Learn from a look at a worker, and pace what fills there."""
-        keeper = self._keepers.get(worker_id)
+    def update_paces(self, worker_id: WorkerId) -> None:
+        """Learn from the latest poll and send new paces to filling tasks."""
+        controller = self._pace_controllers.get(worker_id)
         link = self.links.get(worker_id)
-        if keeper is None or link is None or self._nursery is None:
+        if controller is None or link is None or self._nursery is None:
             return
         now_s = boot_s()
         self._learners[worker_id].learn(now_s=now_s)
-        for run, percent in keeper.decide(now_s=now_s).items():
+        for run, percent in controller.decide(now_s=now_s).items():
             _LOG.info(
                 'pace',
                 task=run.task.name,
@@ -130,59 +130,59 @@
             run.pace_percent = percent
             run.paced_until_s = now_s
             self._nursery.start_soon(link.orders.pace, run, percent)
-        link.is_urgent = keeper.needs_look()
+        link.is_urgent = controller.needs_look()
 
-    def is_unread(self, worker_id: WorkerId) -> bool:
-        """Whether a worker was never reached by this owner."""
+    def was_never_polled(self, worker_id: WorkerId) -> bool:
+        """Whether this owner has never had an answer from a worker."""
         link = self.links.get(worker_id)
         return link is None or link.clock.reading_ms is None
 
-    def drop_gone(self) -> None:
-        """Forget workers that are gone and run nothing."""
+    def remove_gone_workers(self) -> None:
+        """Remove unreachable, no longer listed workers that have no runs."""
         for worker_id, worker in tuple(self.fleet.workers.items()):
-            gone = worker.listing.state is WorkerState.GONE
-            if gone and not worker.runs and not worker.is_reachable:
+            is_gone = worker.listing.state is WorkerState.GONE
+            if is_gone and not worker.runs and not worker.is_reachable:
                 self.links.pop(worker_id).scope.cancel()
                 self.fleet.workers.pop(worker_id)
-                self._keepers.pop(worker_id)
+                self._pace_controllers.pop(worker_id)
                 self._learners.pop(worker_id)
 
-    def _listing_of(self, event: StoreEvent) -> WorkerListing | None:
+    def _decode_event(self, event: StoreEvent) -> WorkerListing | None:
         if event.stored is None:
             return None
         try:
             return self.decode(event.key, event.stored.body)
         except Failure as failure:
-            _LOG.warning('worker entry unreadable', error=str(failure))
+            _LOG.warning('worker entry not decoded', error=str(failure))
             return None
 
-    def _take_listing(self, listing: WorkerListing) -> None:
+    def _apply_listing(self, listing: WorkerListing) -> None:
         worker = self.fleet.workers.get(listing.worker_id)
         if worker is None:
             worker = Worker(listing)
-            self._add(worker)
+            self._add_worker(worker)
         if listing.state is WorkerState.DRAINING:
-            left_ms = listing.remaining_ms
-            if left_ms is None:
-                left_ms = self.drain_ms
-            worker.leaves_s = boot_s() + left_ms / _MS_PER_S
+            remaining_ms = listing.remaining_ms
+            if remaining_ms is None:
+                remaining_ms = self.drain_ms
+            worker.leaves_s = boot_s() + remaining_ms / _MS_PER_S
         if worker.listing.state is not listing.state:
             _LOG.info(
-                'worker changes state',
+                'worker state changed',
                 worker=listing.worker_id,
                 state=listing.state.value,
             )
         worker.listing = listing
 
-    def _add(self, worker: Worker) -> None:
+    def _add_worker(self, worker: Worker) -> None:
         worker_id = worker.worker_id
         self.fleet.workers[worker_id] = worker
         for run in self.book.live_runs():
             if run.worker_id == worker_id:
                 worker.add(run)
-        link = WorkerLink(worker=worker, owner=self.owner, terms=self.terms)
+        link = WorkerLink(worker=worker, owner=self.owner, context=self.context)
         self.links[worker_id] = link
-        self._keepers[worker_id] = PaceKeeper(
+        self._pace_controllers[worker_id] = PaceKeeper(
             worker,
             self.model,
             self.harm_s,
@@ -191,7 +191,7 @@
         if self._nursery is not None:
             self._nursery.start_soon(link.run)
 
-    def _take_gone(self, worker_id: WorkerId) -> None:
+    def _mark_gone(self, worker_id: WorkerId) -> None:
         worker = self.fleet.workers.get(worker_id)
         if worker is None or worker.listing.state is WorkerState.GONE:
             return
--- a/src/marjoramwharf/platform/advice_calls.py
+++ b/src/marjoramwharf/platform/advice_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's advice service; implements ``cells.AdviceCalls``."""
+"""Calls to the platform's advice service; implements ``cells.AdviceClient``."""
 
 from __future__ import annotations
 
--- a/src/marjoramwharf/platform/boot.py
+++ b/src/marjoramwharf/platform/boot.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable, Mapping
 from typing import TypeVar
 
-from marjoramwharf.cells.place import (
+from marjoramwharf.cells.instance_settings import (
     Address,
     Bounds,
-    EntryPlace,
-    StoreRates,
+    InstanceSettings,
+    StoreLimits,
 )
 from marjoramwharf.errors import BadSettings
 from marjoramwharf.ids import DataCentreId, EntryId, RegionId
@@ -35,7 +35,7 @@
     return pathlib.Path(path)
 
 
-def load_place(path: pathlib.Path) -> EntryPlace:
+def load_place(path: pathlib.Path) -> InstanceSettings:
     """Read the settings of an entry from a file."""
     try:
         text = path.read_text(encoding='utf-8')
@@ -44,7 +44,7 @@
     return parse_place(text, origin=str(path))
 
 
-def parse_place(text: str, *, origin: str) -> EntryPlace:
+def parse_place(text: str, *, origin: str) -> InstanceSettings:
     """Read the settings of an entry from a text."""
     fields = _split(text)
 
@@ -55,7 +55,7 @@
     ) -> _Field:
         return _field(fields, name, convert, default, origin)
 
-    return EntryPlace(
+    return InstanceSettings(
         entry_id=EntryId(read('Node', _name)),
         data_centre=DataCentreId(read('Zone', _name)),
         region=RegionId(read('Region', str, '')),
@@ -70,11 +70,11 @@
         * read('Limits.Cores', float, 1.0),
         memory_mb=read('Limits.MemoryMb', _whole, 300),
         bounds=_bounds(fields, origin),
-        rates=StoreRates(
+        store_limits=StoreLimits(
             writes_per_s=read('platform.WritesPerS', float, 400.0),
             reads_per_s=read('platform.ReadsPerS', float, 2_000.0),
-            shortest_ttl_ms=read('platform.TtlMinMs', _whole, 1_000),
-            value_bytes=read('platform.ValueBytes', _whole, 1_048_576),
+            min_ttl_ms=read('platform.TtlMinMs', _whole, 1_000),
+            max_value_bytes=read('platform.ValueBytes', _whole, 1_048_576),
         ),
     )
 
--- a/src/marjoramwharf/platform/front.py
+++ b/src/marjoramwharf/platform/front.py
@@ -10,7 +10,7 @@
 
 from marjoramwharf.cells.clocks import wall_ms
 from marjoramwharf.cells.intake import Intake
-from marjoramwharf.cells.intake_outcomes import Submission
+from marjoramwharf.cells.submission_outcome import SubmissionOutcome
 from marjoramwharf.errors import BadJob, Failure
 from marjoramwharf.ids import JobId
 from marjoramwharf.links.http_server import HttpReply, HttpRequest
@@ -49,10 +49,10 @@
     (('Retry-After', '60'),),
 )
 _SUBMITTED = {
-    Submission.ACCEPTED: _ACCEPTED,
-    Submission.REFUSED: _NOT_STORED,
-    Submission.UNKNOWN: _UNKNOWN,
-    Submission.UNSERVABLE: _UNSERVABLE,
+    SubmissionOutcome.ACCEPTED: _ACCEPTED,
+    SubmissionOutcome.REFUSED: _NOT_STORED,
+    SubmissionOutcome.UNKNOWN: _UNKNOWN,
+    SubmissionOutcome.UNSERVABLE: _UNSERVABLE,
 }
 
 
--- a/src/marjoramwharf/platform/job_bodies.py
+++ b/src/marjoramwharf/platform/job_bodies.py
@@ -6,7 +6,7 @@
 
 from msgspec import DecodeError, Meta, Struct
 
-from marjoramwharf.cells.status import ShownState
+from marjoramwharf.cells.job_status import PublicJobState
 from marjoramwharf.errors import BadJob
 from marjoramwharf.ids import JobId
 from marjoramwharf.json_bodies import decode_json
@@ -19,11 +19,11 @@
 _Size = Annotated[int, Meta(ge=0, le=2_000_000_000)]
 
 _STATES = {
-    ShownState.QUEUED: b'{"State":"queued"}',
-    ShownState.RUNNING: b'{"State":"running"}',
-    ShownState.DONE: b'{"State":"completed"}',
-    ShownState.FAILED: b'{"State":"failed"}',
-    ShownState.CANCELLED: b'{"State":"cancelled"}',
+    PublicJobState.QUEUED: b'{"State":"queued"}',
+    PublicJobState.RUNNING: b'{"State":"running"}',
+    PublicJobState.DONE: b'{"State":"completed"}',
+    PublicJobState.FAILED: b'{"State":"failed"}',
+    PublicJobState.CANCELLED: b'{"State":"cancelled"}',
 }
 
 
@@ -95,7 +95,7 @@
     )
 
 
-def encode_state(state: ShownState) -> bytes:
+def encode_state(state: PublicJobState) -> bytes:
     """Return the body that tells a job's state."""
     return _STATES[state]
 
--- a/src/marjoramwharf/platform/worker_calls.py
+++ b/src/marjoramwharf/platform/worker_calls.py
@@ -1,4 +1,4 @@
-"""Calls to a worker of the platform; implements ``cells.WorkerCalls``."""
+"""Calls to a worker of the platform; implements ``cells.WorkerClient``."""
 
 from __future__ import annotations
 
@@ -105,7 +105,7 @@
 
     task: str
     run: int
-    saved: str = ''
+    checkpoint: str = ''
     percent: float = 0
     reading: float = 0
 
@@ -115,7 +115,7 @@
     task: str
     run: int
     how: str
-    saved: str = ''
+    checkpoint: str = ''
 
 
 class _Lists(Struct, frozen=True):
@@ -183,7 +183,7 @@
         """Extend the leases and look."""
         body = _Hold(
             fence=order.fence,
-            last_seen=order.noted_end,
+            last_seen=order.acknowledged_end,
             expires_ms=order.expires_ms,
             wait_ms=order.wait_ms,
         )
@@ -264,7 +264,7 @@
             RunReport(
                 task=TaskId(row.task),
                 run=row.run,
-                saved=row.saved,
+                checkpoint=row.checkpoint,
                 percent=round(row.percent),
                 reading=round(row.reading),
             )
@@ -276,7 +276,7 @@
                 task=TaskId(row.task),
                 run=row.run,
                 how=_end(row.how),
-                saved=row.saved,
+                checkpoint=row.checkpoint,
             )
             for row in lists.ended
         ],
--- a/src/marjoramwharf/programs/_cell_metrics.py
+++ b/src/marjoramwharf/programs/_cell_metrics.py
@@ -75,7 +75,7 @@
         cell = self.cell()
         if cell is None:
             return {'owns_cell': {'': 0}}
-        workers = cell.board.fleet.workers.values()
+        workers = cell.worker_registry.fleet.workers.values()
         return {
             'owns_cell': {'': 1},
             'ready_tasks': {'': len(cell.book.ready)},
--- a/src/marjoramwharf/programs/platform_entry.py
+++ b/src/marjoramwharf/programs/platform_entry.py
@@ -14,14 +14,14 @@
 import trio
 
 from marjoramwharf.cells.cell import Cell
-from marjoramwharf.cells.cell_terms import CellParts, Mandate
+from marjoramwharf.cells.cell_context import CellContext, CellOwnership
 from marjoramwharf.cells.clocks import boot_s
-from marjoramwharf.cells.config_keeper import ConfigKeeper
+from marjoramwharf.cells.config_cache import ConfigCache
 from marjoramwharf.cells.entry_directory import EntryDirectory
 from marjoramwharf.cells.intake import Intake
 from marjoramwharf.cells.owner_link import OwnerLink, answer_job_call
 from marjoramwharf.cells.ownership import Campaign, OwnerView, Tenure
-from marjoramwharf.cells.place import EntryPlace
+from marjoramwharf.cells.instance_settings import InstanceSettings
 from marjoramwharf.cells.records import OWNERS_PREFIX, CellId, EntryRecord
 from marjoramwharf.cells.counters import CellCounters
 from marjoramwharf.errors import BadSettings
@@ -105,13 +105,13 @@
 class Entry:
     """The parts of the process, wired."""
 
-    place: EntryPlace
+    place: InstanceSettings
     secret: str = field(default_factory=random_id)
     client: LeanClient = field(default_factory=_client)
     view: OwnerView = field(default_factory=OwnerView)
-    config: ConfigKeeper = field(
+    config: ConfigCache = field(
         default_factory=partial(
-            ConfigKeeper,
+            ConfigCache,
             CONFIG_KEY,
             decode_configuration,
         ),
@@ -138,7 +138,7 @@
         )
         reach = StoreReach()
         self.relay = StoreRelay(
-            lambda: self.directory.known,
+            lambda: self.directory.peers,
             self.identity,
             reach,
         )
@@ -153,7 +153,7 @@
             cell=_CELL,
             identity=self.identity,
             timeout_s=_OWNER_TIMEOUT_S,
-            on_gone=self.view.note_gone,
+            on_owner_ended=self.view.mark_owner_ended,
         )
         self.campaign = Campaign(
             store=RelayedStore(
@@ -165,7 +165,7 @@
             view=self.view,
             cell=_CELL,
             record=record,
-            ttl_ms=max(_OWNER_TTL_MS, place.rates.shortest_ttl_ms),
+            ttl_ms=max(_OWNER_TTL_MS, place.store_limits.min_ttl_ms),
             cpu_share=place.cpu_share,
             run_cell=self.run_cell,
         )
@@ -237,25 +237,25 @@
     async def run_cell(self, tenure: Tenure) -> None:
         """Own the cell until the tenure ends."""
         cell = Cell(
-            mandate=Mandate(
+            ownership=CellOwnership(
                 cell=tenure.cell,
                 guard=tenure.guard,
                 is_current=lambda: tenure.is_current(boot_s()),
-                may_extend=lambda: tenure.is_current(
+                may_extend_leases=lambda: tenure.is_current(
                     boot_s() - _HOLD_AFTER_LAPSE_S,
                 ),
                 give_up=tenure.scope.cancel,
             ),
-            parts=CellParts(
+            context=CellContext(
                 store=self.store,
-                calls=PlatformWorkerCalls(self.client),
+                worker_client=PlatformWorkerCalls(self.client),
                 configuration=lambda: self.config.current,
                 workers_prefix=WORKERS_PREFIX,
                 decode_listing=decode_listing,
                 bounds=self.place.bounds,
                 hold_ms=round(self.place.bounds.max_hold_ms * _HOLD_SHARE),
                 counters=self.counters,
-                advice=self._advice(),
+                advice_client=self._advice(),
             ),
         )
         self.cell = cell
--- a/src/marjoramwharf/scheduling/job_book.py
+++ b/src/marjoramwharf/scheduling/job_book.py
@@ -101,7 +101,7 @@
             phase=RunPhase.PLANNED,
             placed_s=now_s,
             moved_s=now_s,
-            saved=task.checkpoint,
+            checkpoint=task.checkpoint,
         )
         task.runs[number] = run
         task.last_run = max(task.last_run, number)
@@ -129,17 +129,17 @@
         run: Run,
         how: RunEnd,
         *,
-        saved: str,
+        checkpoint: str,
         max_attempts: int,
         now_s: float,
     ) -> None:
-        """Take in the end of a run; ``saved`` is its checkpoint, if any."""
+        """Take in the end of a run; ``checkpoint`` is its checkpoint, if any."""
         task = run.task
         task.runs.pop(run.number, None)
         run.phase = RunPhase.ENDED
         job = job_of(task)
-        if saved:
-            self._save(task, saved)
+        if checkpoint:
+            self._save(task, checkpoint)
         if how is RunEnd.DONE:
             _note_pace(run, now_s)
         if how is RunEnd.DONE and not task.step.request.is_lasting:
@@ -221,9 +221,9 @@
         self._refresh(occurrence, now_s)
         self._changed(job)
 
-    def _save(self, task: Task, saved: str) -> None:
+    def _save(self, task: Task, checkpoint: str) -> None:
         for member in gang_of(task):
-            member.checkpoint = saved
+            member.checkpoint = checkpoint
 
     def _complete(self, task: Task) -> None:
         for member in gang_of(task):
--- a/src/marjoramwharf/scheduling/job_state.py
+++ b/src/marjoramwharf/scheduling/job_state.py
@@ -92,7 +92,7 @@
     read_s: float = 0
     paced_until_s: float = 0
     reading: int = 0
-    saved: str = ''
+    checkpoint: str = ''
     pace_percent: int = 100
     planned_version: int = 0
     stop_answered_s: float | None = None
--- a/standins/platform_wire.py
+++ b/standins/platform_wire.py
@@ -243,7 +243,7 @@
     async def _hold(self, body: dict[str, Any]) -> HttpReply:
         order = HoldOrder(
             fence=body.get('Fence', 0),
-            noted_end=body.get('LastSeen', 0),
+            acknowledged_end=body.get('LastSeen', 0),
             expires_ms=body.get('ExpiresMs'),
             wait_ms=body.get('WaitMs', 0),
         )
@@ -259,11 +259,23 @@
                 'ClockMs': report.clock_ms,
                 'born': report.born_ms,
                 'Running': [
-                    [row.task, row.run, row.saved, row.percent, row.reading]
+                    [
+                        row.task,
+                        row.run,
+                        row.checkpoint,
+                        row.percent,
+                        row.reading,
+                    ]
                     for row in report.running
                 ],
                 'Ended': [
-                    [row.number, row.task, row.run, row.how.value, row.saved]
+                    [
+                        row.number,
+                        row.task,
+                        row.run,
+                        row.how.value,
+                        row.checkpoint,
+                    ]
                     for row in report.ended
                 ],
             },
--- a/standins/run_worker.py
+++ b/standins/run_worker.py
@@ -139,7 +139,7 @@
             return HoldReport(OrderOutcome.FENCED, clock_ms)
         if order.expires_ms is not None:
             self._extend(order.expires_ms, clock_ms)
-        self._forget(order.noted_end)
+        self._forget(order.acknowledged_end)
         return HoldReport(
             outcome=OrderOutcome.ACCEPTED,
             clock_ms=clock_ms,
@@ -162,13 +162,13 @@
         """Whether ends wait to be noted."""
         return bool(self._ended)
 
-    def _forget(self, noted_end: int) -> None:
+    def _forget(self, acknowledged_end: int) -> None:
         for ended in self._ended:
-            if ended.number <= noted_end and ended.how is RunEnd.DONE:
+            if ended.number <= acknowledged_end and ended.how is RunEnd.DONE:
                 ended_s = self._end_times[ended.number]
                 self.noted_done.append((ended.task, ended_s))
         self._ended = [
-            ended for ended in self._ended if ended.number > noted_end
+            ended for ended in self._ended if ended.number > acknowledged_end
         ]
 
     def _admit(self, fence: int) -> bool:
--- a/standins/run_worker_calls.py
+++ b/standins/run_worker_calls.py
@@ -30,7 +30,7 @@
 
 @dataclass
 class MemoryWorkerCalls:
-    """Implements ``WorkerCalls`` on a table of ``RunWorker``.
+    """Implements ``WorkerClient`` on a table of ``RunWorker``.
 
     ``unreachable`` workers answer nothing. The next ``starts_to_lose`` starts
     and ``holds_to_lose`` are carried out without an answer; the next
--- a/tests/cells/world.py
+++ b/tests/cells/cluster.py
@@ -1,4 +1,4 @@
-"""A cell with stand-in store and workers, for the tests of this package."""
+"""A cell with a stand-in store and stand-in workers, for these tests."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 from trio.testing import MockClock
 
 from marjoramwharf.cells.cell import Cell
-from marjoramwharf.cells.cell_terms import CellParts, Mandate
+from marjoramwharf.cells.cell_context import CellContext, CellOwnership
 from marjoramwharf.cells.clocks import boot_s, replaced_clocks
+from marjoramwharf.cells.instance_settings import Bounds
+from marjoramwharf.cells.job_status import PublicJobState
 from marjoramwharf.cells.ownership import Campaign, OwnerView, Tenure
-from marjoramwharf.cells.place import Bounds
 from marjoramwharf.cells.records import (
     OWNERS_PREFIX,
     CellId,
@@ -24,7 +25,6 @@
     encode,
     request_key,
 )
-from marjoramwharf.cells.status import ShownState
 from marjoramwharf.errors import BadListing
 from marjoramwharf.ids import DataCentreId, JobId, TaskId, WorkerId
 from marjoramwharf.links.follower import Follower
@@ -43,12 +43,12 @@
 HOLD_MS = 6_500
 
 
-def run_with_clock(check: Callable[[], Awaitable[None]]) -> None:
-    """Run a test on a clock that jumps over idle time."""
+def run_with_clock(test: Callable[[], Awaitable[None]]) -> None:
+    """Run a test on a simulated clock that skips idle time."""
 
     async def with_clocks() -> None:
         with replaced_clocks(trio.current_time):
-            await check()
+            await test()
 
     trio.run(with_clocks, clock=MockClock(autojump_threshold=0))
 
@@ -79,8 +79,8 @@
 
 
 @dataclass
-class Owner:
-    """One process that may own the cell; killed by cancelling its scope."""
+class Candidate:
+    """A process that competes for the cell; cancelling ``scope`` kills it."""
 
     view: OwnerView = field(default_factory=OwnerView)
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
@@ -89,17 +89,17 @@
 
 
 @dataclass
-class World:
+class Cluster:
     """Store, workers and the entries that compete for the cell.
 
-    ``retired`` are former incarnations of workers.
+    ``former_workers`` are earlier incarnations of restarted workers.
     """
 
     store: PollingMemoryStore = field(default_factory=PollingMemoryStore)
     workers: dict[WorkerId, RunWorker] = field(default_factory=dict)
     listings: dict[WorkerId, WorkerListing] = field(default_factory=dict)
-    owners: list[Owner] = field(default_factory=list)
-    retired: list[RunWorker] = field(default_factory=list)
+    candidates: list[Candidate] = field(default_factory=list)
+    former_workers: list[RunWorker] = field(default_factory=list)
     configuration: Configuration = Configuration(
         1,
         {
@@ -113,11 +113,11 @@
             ),
         },
     )
-    calls: MemoryWorkerCalls = field(init=False)
+    worker_client: MemoryWorkerCalls = field(init=False)
 
     def __post_init__(self) -> None:
-        """Share the workers with the calls."""
-        self.calls = MemoryWorkerCalls(self.workers)
+        """Create the client, which shares the table of workers."""
+        self.worker_client = MemoryWorkerCalls(self.workers)
 
     async def add_worker(
         self,
@@ -126,7 +126,7 @@
         state: WorkerState = WorkerState.READY,
         remaining_ms: int | None = None,
     ) -> RunWorker:
-        """List a worker, new or with another state."""
+        """Add a worker to the list, or change its state there."""
         worker_id = WorkerId(name)
         worker = self.workers.setdefault(
             worker_id,
@@ -143,113 +143,113 @@
             labels=('a', 'r1'),
             remaining_ms=remaining_ms,
         )
-        await self._write(f'servers/{name}', name.encode())
+        await self._store(f'servers/{name}', name.encode())
         return worker
 
     async def submit(self, request: JobRequest) -> None:
-        """Store a request as an entry does."""
-        await self._write(request_key(CELL, request.job_id), encode(request))
+        """Store a job request as an entry does."""
+        await self._store(request_key(CELL, request.job_id), encode(request))
 
     async def cancel(self, job_id: JobId) -> None:
         """Store a cancellation as an entry does."""
-        await self._write(cancel_key(CELL, job_id), b'1')
+        await self._store(cancel_key(CELL, job_id), b'1')
 
-    def spawn(self, nursery: trio.Nursery, name: str) -> Owner:
-        """Start an entry that competes for the cell."""
-        owner = Owner()
-        owner.campaign = Campaign(
+    def spawn(self, nursery: trio.Nursery, name: str) -> Candidate:
+        """Start the process of an entry that competes for the cell."""
+        candidate = Candidate()
+        candidate.campaign = Campaign(
             store=self.store,
-            view=owner.view,
+            view=candidate.view,
             cell=CELL,
             record=EntryRecord(name, name, 1, f'secret of {name}'),
             ttl_ms=TTL_MS,
             cpu_share=1,
-            run_cell=partial(self._run_cell, owner),
+            run_cell=partial(self._run_cell, candidate),
         )
-        self.owners.append(owner)
-        nursery.start_soon(self._run_owner, owner)
-        return owner
+        self.candidates.append(candidate)
+        nursery.start_soon(self._run_candidate, candidate)
+        return candidate
 
-    async def until(
+    async def wait_until(
         self,
         condition: Callable[[], bool],
         *,
         limit_s: float = 60,
     ) -> None:
-        """Wait for a condition; fails when it does not come true."""
+        """Wait for a condition; fail if it doesn't hold within ``limit_s``."""
         with trio.fail_after(limit_s):
             while not condition():
                 await trio.sleep(0.02)
-                self.check_runs()
+                self.check_single_runs()
 
-    def state(self, request: JobRequest) -> ShownState | None:
-        """Return what the present owner shows of a job."""
-        for owner in self.owners:
-            cell = owner.cell
+    def state(self, request: JobRequest) -> PublicJobState | None:
+        """Return the state of a job that the current owner shows."""
+        for candidate in self.candidates:
+            cell = candidate.cell
             if cell is not None and cell.is_loaded:
                 return cell.status(request.job_id)
         return None
 
-    def check_runs(self) -> None:
-        """Fail if a task runs at two workers at a time."""
+    def check_single_runs(self) -> None:
+        """Fail if a task is running at two workers at the same time."""
         counts: Counter[TaskId] = Counter()
         for worker in self.workers.values():
             worker.advance(trio.current_time())
             counts.update(tuple(worker.running))
-        doubled = [task for task, count in counts.items() if count > 1]
-        if doubled:
-            raise AssertionError(f'{doubled} run twice')
+        duplicated = [task for task, count in counts.items() if count > 1]
+        if duplicated:
+            raise AssertionError(f'{duplicated} run at two workers at a time')
 
     def starts(self) -> Counter[TaskId]:
-        """Return how often each task was started."""
+        """Return the number of starts of each task."""
         return Counter(
             task
             for worker in self.workers.values()
             for task, _, _ in worker.starts
         )
 
-    async def _write(self, key: str, body: bytes) -> None:
-        known = self.store.state.stored.get(key)
-        revision = 0 if known is None else known.mod_revision
+    async def _store(self, key: str, body: bytes) -> None:
+        stored = self.store.state.stored.get(key)
+        revision = 0 if stored is None else stored.mod_revision
         await self.store.commit([Guard(key, revision)], [Write(key, body)])
 
-    async def _run_owner(self, owner: Owner) -> None:
-        with owner.scope:
+    async def _run_candidate(self, candidate: Candidate) -> None:
+        with candidate.scope:
             async with trio.open_nursery() as nursery:
                 follower = Follower(
                     self.store,
                     OWNERS_PREFIX,
-                    owner.view.apply,
+                    candidate.view.apply,
                 )
                 nursery.start_soon(follower.run)
-                if owner.campaign is not None:
-                    nursery.start_soon(owner.campaign.run)
+                if candidate.campaign is not None:
+                    nursery.start_soon(candidate.campaign.run)
 
-    async def _run_cell(self, owner: Owner, tenure: Tenure) -> None:
-        owner.cell = Cell(
-            mandate=Mandate(
+    async def _run_cell(self, candidate: Candidate, tenure: Tenure) -> None:
+        candidate.cell = Cell(
+            ownership=CellOwnership(
                 cell=CELL,
                 guard=tenure.guard,
                 is_current=lambda: tenure.is_current(boot_s()),
-                may_extend=lambda: tenure.is_current(boot_s() - 1.2),
+                may_extend_leases=lambda: tenure.is_current(boot_s() - 1.2),
                 give_up=tenure.scope.cancel,
             ),
-            parts=CellParts(
+            context=CellContext(
                 store=self.store,
-                calls=self.calls,
+                worker_client=self.worker_client,
                 configuration=lambda: self.configuration,
                 workers_prefix='servers/',
-                decode_listing=self._decode,
+                decode_listing=self._decode_listing,
                 bounds=Bounds(),
                 hold_ms=HOLD_MS,
             ),
         )
         try:
-            await owner.cell.run()
+            await candidate.cell.run()
         finally:
-            owner.cell = None
+            candidate.cell = None
 
-    def _decode(self, key: str, _body: bytes) -> WorkerListing:
+    def _decode_listing(self, key: str, _body: bytes) -> WorkerListing:
         try:
             return self.listings[WorkerId(key.removeprefix('servers/'))]
         except KeyError as failure:
@@ -257,13 +257,13 @@
 
 
 @asynccontextmanager
-async def open_world(
+async def open_cluster(
     workers: Iterable[str] = ('w1', 'w2', 'w3'),
-) -> AsyncIterator[tuple[World, trio.Nursery]]:
-    """Open a world with workers; everything ends with the block."""
-    world = World()
+) -> AsyncIterator[tuple[Cluster, trio.Nursery]]:
+    """Yield a cluster with workers; its tasks end with the ``with`` block."""
+    cluster = Cluster()
     async with trio.open_nursery() as nursery:
         for name in workers:
-            await world.add_worker(name)
-        yield world, nursery
+            await cluster.add_worker(name)
+        yield cluster, nursery
         nursery.cancel_scope.cancel()
--- a/tests/cells/test_entry_directory.py
+++ b/tests/cells/test_entry_directory.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the others."""
+"""Discovery of the other entries."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from marjoramwharf.cells.entry_directory import EntryDirectory
 from marjoramwharf.cells.records import EntryRecord
 from standins.polling_store import PollingMemoryStore
-from tests.cells.world import run_with_clock
+from tests.cells.cluster import run_with_clock
 
 
 def _directory(store: PollingMemoryStore, name: str) -> EntryDirectory:
@@ -21,17 +21,17 @@
 
     def test_entries_find_each_other(self) -> None:
         """Guards against entries that start together and miss each other."""
-        run_with_clock(self._find)
+        run_with_clock(self._entries_find_each_other)
 
     def test_store_outage(self) -> None:
-        """Guards against peers that are forgotten when they are needed."""
-        run_with_clock(self._outage)
+        """Guards against peers that are dropped while the store is down."""
+        run_with_clock(self._store_outage)
 
     def test_many_entries(self) -> None:
-        """Guards against a reading that grows with the number of entries."""
-        run_with_clock(self._many)
+        """Guards against a read whose size grows with the number of entries."""
+        run_with_clock(self._many_entries)
 
-    async def _find(self) -> None:
+    async def _entries_find_each_other(self) -> None:
         store = PollingMemoryStore()
         directories = [_directory(store, name) for name in ('e1', 'e2')]
         async with trio.open_nursery() as nursery:
@@ -39,11 +39,11 @@
                 nursery.start_soon(directory.run)
             await trio.sleep(2)
             for directory in directories:
-                known = {peer.entry_id for peer in directory.known}
-                self.assertEqual({'e1', 'e2'}, known)
+                entry_ids = {peer.entry_id for peer in directory.peers}
+                self.assertEqual({'e1', 'e2'}, entry_ids)
             nursery.cancel_scope.cancel()
 
-    async def _outage(self) -> None:
+    async def _store_outage(self) -> None:
         store = PollingMemoryStore()
         directory = _directory(store, 'e1')
         async with trio.open_nursery() as nursery:
@@ -51,13 +51,13 @@
             await trio.sleep(2)
             store.is_down = True
             await trio.sleep(30)
-            self.assertTrue(directory.known)
+            self.assertTrue(directory.peers)
             store.is_down = False
             await trio.sleep(11)
             self.assertTrue(store.state.below('mw/entry/'))
             nursery.cancel_scope.cancel()
 
-    async def _many(self) -> None:
+    async def _many_entries(self) -> None:
         store = PollingMemoryStore()
         async with trio.open_nursery() as nursery:
             for number in range(300):
--- a/tests/cells/test_histories.py
+++ b/tests/cells/test_histories.py
@@ -1,7 +1,8 @@
-"""Random histories of owners, workers and the store, checked against promises.
+"""Random sequences of faults, checked against the guarantees of a cell.
 
-Each example plays a list of faults while jobs run. Workers keep what they were
-told, so the checks are made from their side and from the store's.
+Each example injects a list of faults into owners, workers and the store while
+jobs run. Workers record the orders that they received, so the checks read the
+state of the workers and of the store.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from marjoramwharf.cells.status import ShownState
+from marjoramwharf.cells.job_status import PublicJobState
 from marjoramwharf.errors import LeaseEnded
 from marjoramwharf.ids import WorkerId
 from standins.run_worker import RunWorker
-from tests.cells.world import (
-    World,
+from tests.cells.cluster import (
+    Cluster,
     job_request,
-    open_world,
+    open_cluster,
     run_with_clock,
     step,
 )
@@ -32,101 +33,103 @@
 _EXAMPLES_COUNT = 60
 
 
-def _kill_owner(world: World, _pick: int) -> None:
-    for owner in world.owners:
-        if owner.cell is not None:
-            owner.scope.cancel()
+def _kill_owner(cluster: Cluster, _pick: int) -> None:
+    for candidate in cluster.candidates:
+        if candidate.cell is not None:
+            candidate.scope.cancel()
 
 
-def _cut_worker(world: World, pick: int) -> None:
-    world.calls.unreachable.add(WorkerId(_WORKERS[pick % len(_WORKERS)]))
+def _disconnect_worker(cluster: Cluster, pick: int) -> None:
+    cluster.worker_client.unreachable.add(
+        WorkerId(_WORKERS[pick % len(_WORKERS)])
+    )
 
 
-def _heal_workers(world: World, _pick: int) -> None:
-    world.calls.unreachable.clear()
+def _reconnect_workers(cluster: Cluster, _pick: int) -> None:
+    cluster.worker_client.unreachable.clear()
 
 
-def _restart_worker(world: World, pick: int) -> None:
+def _restart_worker(cluster: Cluster, pick: int) -> None:
     name = WorkerId(_WORKERS[pick % len(_WORKERS)])
-    world.retired.append(world.workers[name])
-    world.workers[name] = RunWorker(trio.current_time())
+    cluster.former_workers.append(cluster.workers[name])
+    cluster.workers[name] = RunWorker(trio.current_time())
 
 
-def _store_down(world: World, _pick: int) -> None:
-    world.store.is_down = True
+def _stop_store(cluster: Cluster, _pick: int) -> None:
+    cluster.store.is_down = True
 
 
-def _store_up(world: World, _pick: int) -> None:
-    world.store.is_down = False
+def _start_store(cluster: Cluster, _pick: int) -> None:
+    cluster.store.is_down = False
 
 
-def _lapse_leases(world: World, _pick: int) -> None:
-    world.store.state.expire_all_leases()
+def _expire_leases(cluster: Cluster, _pick: int) -> None:
+    cluster.store.state.expire_all_leases()
 
 
-def _lose_store_answers(world: World, pick: int) -> None:
-    world.store.answers_to_lose += pick
+def _lose_store_answers(cluster: Cluster, pick: int) -> None:
+    cluster.store.answers_to_lose += pick
 
 
-def _delay_commits(world: World, pick: int) -> None:
-    world.store.commits_to_delay += pick
+def _delay_commits(cluster: Cluster, pick: int) -> None:
+    cluster.store.commits_to_delay += pick
 
 
-def _late_commits(world: World, _pick: int) -> None:
-    for commit in world.store.late_commits:
-        # A late write whose lease has ended changes nothing.
+def _apply_late_commits(cluster: Cluster, _pick: int) -> None:
+    for commit in cluster.store.late_commits:
+        # A delayed write whose lease has ended is refused and changes nothing.
         with suppress(LeaseEnded):
             commit()
-    world.store.late_commits.clear()
+    cluster.store.late_commits.clear()
 
 
-def _lose_starts(world: World, pick: int) -> None:
-    world.calls.starts_to_lose += pick
+def _lose_starts(cluster: Cluster, pick: int) -> None:
+    cluster.worker_client.starts_to_lose += pick
 
 
-def _repeat_starts(world: World, pick: int) -> None:
-    world.calls.starts_to_repeat += pick
+def _repeat_starts(cluster: Cluster, pick: int) -> None:
+    cluster.worker_client.starts_to_repeat += pick
 
 
-def _delay_starts(world: World, pick: int) -> None:
-    world.calls.starts_to_delay += pick
+def _delay_starts(cluster: Cluster, pick: int) -> None:
+    cluster.worker_client.starts_to_delay += pick
 
 
-def _late_starts(world: World, _pick: int) -> None:
-    for order in world.calls.late_orders:
+def _deliver_late_starts(cluster: Cluster, _pick: int) -> None:
+    for order in cluster.worker_client.late_orders:
         order()
-    world.calls.late_orders.clear()
+    cluster.worker_client.late_orders.clear()
 
 
-def _lose_looks(world: World, pick: int) -> None:
-    world.calls.holds_to_lose += pick
+def _lose_poll_answers(cluster: Cluster, pick: int) -> None:
+    cluster.worker_client.holds_to_lose += pick
 
 
-def _doubt_owner(world: World, _pick: int) -> None:
-    """Let the others take the owner for dead, whether it lives or not."""
-    for owner in world.owners:
-        for known in tuple(owner.view.owners.values()):
-            if owner.cell is None:
-                owner.view.note_gone(known)
+def _report_owner_ended(cluster: Cluster, _pick: int) -> None:
+    """Report each owner as ended to the other candidates, dead or alive."""
+    for candidate in cluster.candidates:
+        for owner in tuple(candidate.view.owners.values()):
+            if candidate.cell is None:
+                candidate.view.mark_owner_ended(owner)
 
 
-_Fault = Callable[[World, int], None]
+_Fault = Callable[[Cluster, int], None]
 _FAULTS: tuple[_Fault, ...] = (
     _kill_owner,
-    _cut_worker,
-    _heal_workers,
+    _disconnect_worker,
+    _reconnect_workers,
     _restart_worker,
-    _store_down,
-    _store_up,
-    _lapse_leases,
+    _stop_store,
+    _start_store,
+    _expire_leases,
     _lose_store_answers,
     _delay_commits,
-    _late_commits,
+    _apply_late_commits,
     _lose_starts,
     _repeat_starts,
     _delay_starts,
-    _late_starts,
-    _lose_looks,
+    _deliver_late_starts,
+    _lose_poll_answers,
 )
 
 
@@ -143,8 +146,9 @@
     )
 
 
-# An owner that is taken for dead comes as often as all other faults together.
-_RIVAL_FAULTS = _FAULTS + (_doubt_owner,) * len(_FAULTS)
+# The false report that an owner has ended is as frequent as all other faults
+# together.
+_RIVAL_FAULTS = _FAULTS + (_report_owner_ended,) * len(_FAULTS)
 
 
 class HistoryTests(unittest.TestCase):
@@ -179,9 +183,9 @@
         history: list[tuple[_Fault, int, float]],
         entries_count: int = 1,
     ) -> None:
-        async with open_world(_WORKERS) as (world, nursery):
+        async with open_cluster(_WORKERS) as (cluster, nursery):
             for number in range(entries_count):
-                world.spawn(nursery, f'e{number}')
+                cluster.spawn(nursery, f'e{number}')
             requests = [
                 job_request(
                     f'{number}',
@@ -192,43 +196,53 @@
                 for number in range(_JOBS_COUNT)
             ]
             for request in requests:
-                await world.submit(request)
+                await cluster.submit(request)
             for fault, pick, pause_s in history:
-                fault(world, pick)
-                self._keep_an_owner(world, nursery)
-                await self._watch(world, pause_s)
-            for fault in (_store_up, _heal_workers, _late_commits):
-                fault(world, 0)
-            _late_starts(world, 0)
-            await world.until(
+                fault(cluster, pick)
+                self._ensure_candidate(cluster, nursery)
+                await self._check_runs_for(cluster, pause_s)
+            for fault in (
+                _start_store,
+                _reconnect_workers,
+                _apply_late_commits,
+            ):
+                fault(cluster, 0)
+            _deliver_late_starts(cluster, 0)
+            await cluster.wait_until(
                 lambda: all(
-                    world.state(request) is ShownState.DONE
+                    cluster.state(request) is PublicJobState.DONE
                     for request in requests
                 ),
                 limit_s=90,
             )
-            _late_starts(world, 0)
-            await self._watch(world, 1)
-            self._check_starts(world)
+            _deliver_late_starts(cluster, 0)
+            await self._check_runs_for(cluster, 1)
+            self._check_no_start_after_end(cluster)
 
-    def _keep_an_owner(self, world: World, nursery: trio.Nursery) -> None:
-        if all(owner.scope.cancel_called for owner in world.owners):
-            world.spawn(nursery, f'e{len(world.owners)}')
+    def _ensure_candidate(
+        self, cluster: Cluster, nursery: trio.Nursery
+    ) -> None:
+        if all(
+            candidate.scope.cancel_called for candidate in cluster.candidates
+        ):
+            cluster.spawn(nursery, f'e{len(cluster.candidates)}')
 
-    async def _watch(self, world: World, length_s: float) -> None:
-        until_s = trio.current_time() + length_s
-        while trio.current_time() < until_s:
+    async def _check_runs_for(
+        self, cluster: Cluster, duration_s: float
+    ) -> None:
+        end_s = trio.current_time() + duration_s
+        while trio.current_time() < end_s:
             await trio.sleep(0.02)
-            world.check_runs()
+            cluster.check_single_runs()
 
-    def _check_starts(self, world: World) -> None:
-        """Fail if a task was started after its end as done was noted."""
-        every = [*world.workers.values(), *world.retired]
-        for worker in every:
+    def _check_no_start_after_end(self, cluster: Cluster) -> None:
+        """Fail if a task was started after its end was acknowledged as done."""
+        all_workers = [*cluster.workers.values(), *cluster.former_workers]
+        for worker in all_workers:
             for task, ended_s in worker.noted_done:
                 later = [
                     started_s
-                    for other in every
+                    for other in all_workers
                     for started, started_s in other.start_times
                     if started == task and started_s > ended_s
                 ]
--- a/tests/cells/test_intake.py
+++ b/tests/cells/test_intake.py
@@ -1,4 +1,4 @@
-"""What callers may ask of any entry, over the platform's front."""
+"""Caller requests to an entry through the platform's HTTP front."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 from marjoramwharf.platform.front import Front
 from marjoramwharf.scheduling.job_state import JobPhase
 from standins.polling_store import PollingMemoryStore
-from tests.cells.world import (
+from tests.cells.cluster import (
     CELL,
-    World,
+    Cluster,
     job_request,
-    open_world,
+    open_cluster,
     run_with_clock,
 )
 
@@ -71,7 +71,7 @@
 
 
 @asynccontextmanager
-async def _entry(*, configured: bool = True) -> AsyncIterator[_Entry]:
+async def _open_entry(*, configured: bool = True) -> AsyncIterator[_Entry]:
     store = PollingMemoryStore()
     identity = PeerIdentity(
         EntryId('e1'),
@@ -79,26 +79,26 @@
         DataCentreId('ruse'),
     )
     link = OwnerLink(OwnerView(), CellId(0), identity, 0.3)
-    world = World()
+    cluster = Cluster()
     intake = Intake(store, CELL, link, lambda: None)
     await trio.lowlevel.checkpoint()
     yield _Entry(
         store,
-        Front(intake, lambda: world.configuration if configured else None),
+        Front(intake, lambda: cluster.configuration if configured else None),
         intake,
     )
 
 
-def _never() -> bool:
+def _is_never_reachable() -> bool:
     return False
 
 
-def _read(reply: HttpReply) -> Any:
+def _decode_body(reply: HttpReply) -> Any:
     return json.loads(reply.body)
 
 
 class FrontTests(unittest.TestCase):
-    """Guards against answers that are not true."""
+    """Guards against answers that contradict what is stored."""
 
     def test_paths(self) -> None:
         """Guards against a queue that does not exist being served."""
@@ -109,11 +109,11 @@
         run_with_clock(self._accept_is_stored)
 
     def test_refused_while_down(self) -> None:
-        """Guards against a refusal that comes late or of a stored job."""
+        """Guards against a late refusal, and the refusal of a stored job."""
         run_with_clock(self._refused_while_down)
 
     def test_lost_answer(self) -> None:
-        """Guards against a stored job that its caller is told is refused."""
+        """Guards against telling a caller that a stored job is refused."""
         run_with_clock(self._lost_answer)
 
     def test_unanswered_submission(self) -> None:
@@ -121,23 +121,23 @@
         run_with_clock(self._unanswered_submission)
 
     def test_store_out_of_reach(self) -> None:
-        """Guards against callers that are held by an entry that is cut off."""
+        """Guards against callers that wait at an entry without a store."""
         run_with_clock(self._store_out_of_reach)
 
     def test_repeat_while_store_is_away(self) -> None:
-        """Guards against "not accepted" of a job that was accepted before."""
+        """Guards against the refusal of a job that was accepted before."""
         run_with_clock(self._repeat_while_store_is_away)
 
     def test_state_without_owner(self) -> None:
-        """Guards against a wrong state while the owner is away."""
+        """Guards against a wrong state while the owner is unreachable."""
         run_with_clock(self._state_without_owner)
 
     def test_cancel(self) -> None:
-        """Guards against a cancel that is acknowledged and not stored."""
+        """Guards against a cancellation that is acknowledged but not stored."""
         run_with_clock(self._cancel)
 
     async def _paths(self) -> None:
-        async with _entry() as entry:
+        async with _open_entry() as entry:
             for path in ('/other/1', '/recipes/short', f'{_PATH}0'):
                 reply = await entry.ask('POST', path, body=_BODY)
                 self.assertEqual(404, reply.status, path)
@@ -147,21 +147,21 @@
             self.assertEqual(405, (await entry.ask('PUT')).status)
             self.assertEqual(410, (await entry.ask('GET')).status)
             self.assertEqual(410, (await entry.ask('DELETE')).status)
-        async with _entry(configured=False) as entry:
+        async with _open_entry(configured=False) as entry:
             self.assertEqual(503, (await entry.ask('GET')).status)
 
     async def _accept_is_stored(self) -> None:
-        async with _entry() as entry:
+        async with _open_entry() as entry:
             for _ in range(2):
                 reply = await entry.ask('POST', body=_BODY)
                 self.assertEqual(200, reply.status)
             keys = list(entry.store.state.stored)
             self.assertEqual([request_key(CELL, _ID)], keys)
             state = await entry.ask('GET')
-            self.assertEqual({'State': 'queued'}, _read(state))
+            self.assertEqual({'State': 'queued'}, _decode_body(state))
 
     async def _refused_while_down(self) -> None:
-        async with _entry() as entry:
+        async with _open_entry() as entry:
             entry.store.is_down = True
             began_s = trio.current_time()
             reply = await entry.ask('POST', body=_BODY)
@@ -171,20 +171,20 @@
             self.assertFalse(entry.store.state.stored)
 
     async def _lost_answer(self) -> None:
-        async with _entry() as entry:
+        async with _open_entry() as entry:
             entry.store.answers_to_lose = 1
             reply = await entry.ask('POST', body=_BODY)
             self.assertEqual(200, reply.status)
 
     async def _unanswered_submission(self) -> None:
-        async with _entry() as entry:
+        async with _open_entry() as entry:
             entry.store.commits_to_delay = 1_000
             reply = await entry.ask('POST', body=_BODY)
             self.assertEqual(504, reply.status)
 
     async def _store_out_of_reach(self) -> None:
-        async with _entry() as entry:
-            entry.intake.is_reachable = _never
+        async with _open_entry() as entry:
+            entry.intake.is_store_reachable = _is_never_reachable
             before = entry.store.commits_count
             began_s = trio.current_time()
             reply = await entry.ask('POST', body=_BODY)
@@ -192,26 +192,26 @@
             self.assertIn('Retry-After', dict(reply.headers))
             # A job that may have been stored is given up as unknown.
             self.assertEqual(before, entry.store.commits_count)
-            seen = iter((True, False))
-            entry.intake.is_reachable = lambda: next(seen)
+            answers = iter((True, False))
+            entry.intake.is_store_reachable = lambda: next(answers)
             entry.store.commits_to_delay = 1_000
             reply = await entry.ask('POST', body=_BODY)
             self.assertEqual(504, reply.status)
             self.assertLess(trio.current_time() - began_s, 0.2)
 
     async def _repeat_while_store_is_away(self) -> None:
-        async with _entry() as entry, open_world() as (world, nursery):
-            owner = world.spawn(nursery, 'e1')
+        async with _open_entry() as entry, open_cluster() as (cluster, nursery):
+            candidate = cluster.spawn(nursery, 'e1')
             request = job_request(_ID)
-            await world.submit(request)
-            await world.until(lambda: world.state(request) is not None)
-            entry.intake.local = lambda: owner.cell
-            entry.intake.is_reachable = _never
+            await cluster.submit(request)
+            await cluster.wait_until(lambda: cluster.state(request) is not None)
+            entry.intake.local_cell = lambda: candidate.cell
+            entry.intake.is_store_reachable = _is_never_reachable
             reply = await entry.ask('POST', body=_BODY)
             self.assertEqual(200, reply.status)
 
     async def _state_without_owner(self) -> None:
-        async with _entry() as entry:
+        async with _open_entry() as entry:
             await entry.ask('POST', body=_BODY)
             shown = {
                 JobPhase.OPEN: 'running',
@@ -224,14 +224,14 @@
                 key = progress_key(CELL, _ID)
                 await entry.store.commit([], [Write(key, record)])
                 state = await entry.ask('GET')
-                self.assertEqual({'State': name}, _read(state))
+                self.assertEqual({'State': name}, _decode_body(state))
             self.assertEqual(503, (await entry.ask('GET', '/recipes/')).status)
 
     async def _cancel(self) -> None:
-        async with _entry() as entry:
+        async with _open_entry() as entry:
             await entry.ask('POST', body=_BODY)
             entry.store.answers_to_lose = 1
             self.assertEqual(200, (await entry.ask('DELETE')).status)
             state = await entry.ask('GET')
-            self.assertEqual({'State': 'cancelled'}, _read(state))
+            self.assertEqual({'State': 'cancelled'}, _decode_body(state))
             self.assertEqual(200, (await entry.ask('DELETE')).status)
--- a/tests/cells/test_model_keeper.py
+++ b/tests/cells/test_model_saver.py
@@ -1,4 +1,4 @@
-"""What an owner has learned outlives it."""
+"""Persistence of the interference model across changes of owner."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 import trio
 
-from marjoramwharf.cells.model_keeper import ModelKeeper
+from marjoramwharf.cells.model_saver import ModelSaver
 from marjoramwharf.cells.records import model_key
 from marjoramwharf.links.store import Guard, Write
 from marjoramwharf.scheduling.interference import InterferenceModel, Pressure
 from standins.polling_store import PollingMemoryStore
-from tests.cells.world import CELL, run_with_clock
+from tests.cells.cluster import CELL, run_with_clock
 
 _OWNER_KEY = 'mw/own/0'
 
@@ -23,56 +23,56 @@
     return store, Guard(_OWNER_KEY, stored.mod_revision)
 
 
-def _keeper(store: PollingMemoryStore, owner: Guard) -> ModelKeeper:
-    return ModelKeeper(store, CELL, owner, InterferenceModel())
+def _new_saver(store: PollingMemoryStore, owner: Guard) -> ModelSaver:
+    return ModelSaver(store, CELL, owner, InterferenceModel())
 
 
 class ModelKeeperTests(unittest.TestCase):
-    """Guards against seconds of harm after each change of owner."""
+    """Guards against seconds of missed targets after each change of owner."""
 
     def test_next_owner_knows_it(self) -> None:
         """Guards against a model that is learned anew by each owner."""
         run_with_clock(self._next_owner)
 
     def test_former_owner(self) -> None:
-        """Guards against a former owner that writes over its successor."""
+        """Guards against a former owner that overwrites a newer model."""
         run_with_clock(self._former_owner)
 
     def test_unreadable(self) -> None:
-        """Guards against an owner that can't start for a damaged model."""
+        """Guards against an owner that fails to start with a damaged model."""
         run_with_clock(self._unreadable)
 
     async def _next_owner(self) -> None:
         store, owner = await _owned_store()
-        keeper = _keeper(store, owner)
+        saver = _new_saver(store, owner)
         for _ in range(40):
-            keeper.model.observe(
+            saver.model.observe(
                 's',
                 [Pressure('f', 0.1)],
                 lost=1,
                 variance=0.05,
             )
-        await self._run(keeper)
-        successor = _keeper(store, owner)
+        await self._run(saver)
+        successor = _new_saver(store, owner)
         await successor.load()
-        learned = keeper.model.weight('f', 's')
+        learned = saver.model.weight('f', 's')
         self.assertEqual(learned, successor.model.weight('f', 's'))
 
     async def _former_owner(self) -> None:
         store, owner = await _owned_store()
         await store.commit([], [Write(_OWNER_KEY, b'e2')])
-        keeper = _keeper(store, owner)
-        keeper.model.observe('s', [Pressure('f', 0.1)], lost=1, variance=0.05)
-        await self._run(keeper)
+        saver = _new_saver(store, owner)
+        saver.model.observe('s', [Pressure('f', 0.1)], lost=1, variance=0.05)
+        await self._run(saver)
         self.assertNotIn(model_key(CELL), store.state.stored)
 
     async def _unreadable(self) -> None:
         store, owner = await _owned_store()
         await store.commit([], [Write(model_key(CELL), b'\xc1')])
-        keeper = _keeper(store, owner)
-        await keeper.load()
-        self.assertFalse(keeper.model.known_weights())
+        saver = _new_saver(store, owner)
+        await saver.load()
+        self.assertFalse(saver.model.known_weights())
 
-    async def _run(self, keeper: ModelKeeper) -> None:
+    async def _run(self, saver: ModelSaver) -> None:
         with trio.move_on_after(4):
-            await keeper.run()
+            await saver.run()
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marjoramwharf.cells.status import ShownState
+from marjoramwharf.cells.job_status import PublicJobState
 from marjoramwharf.errors import BadJob, BadListing, BadNote
 from marjoramwharf.ids import JobId
 from marjoramwharf.platform import job_bodies
@@ -162,7 +162,7 @@
 
     def test_states(self) -> None:
         """Guards against a state without a name on the wire."""
-        for state in ShownState:
+        for state in PublicJobState:
             self.assertIn(b'"State"', job_bodies.encode_state(state))
 
     @settings(derandomize=True, max_examples=200)
--- a/tests/programs/test_cells.py
+++ b/tests/programs/test_cells.py
@@ -23,7 +23,7 @@
 from marjoramwharf.scheduling.job_state import JobPhase
 from standins.platform_process import worker_entry
 from standins.polling_store import PollingMemoryStore
-from tests.cells.world import job_request
+from tests.cells.cluster import job_request
 
 _CELL = CellId(0)
 
--- a/tests/scheduling/test_job_book.py
+++ b/tests/scheduling/test_job_book.py
@@ -11,7 +11,7 @@
     ProgressRecord,
     decode,
     encode,
-    progress_of,
+    build_progress_record,
     restore_job,
 )
 from marjoramwharf.scheduling.job_book import JobBook
@@ -106,7 +106,7 @@
         """Guards against work that starts from the beginning again."""
         job = add_job(self.book, 'j', make_step(has_checkpoints=True))
         run = start_run(self.book, first_task(job), self.worker)
-        self._end(run, RunEnd.STOPPED, saved='0bb8')
+        self._end(run, RunEnd.STOPPED, checkpoint='0bb8')
         self.assertEqual('0bb8', first_task(job).checkpoint)
 
     @settings(derandomize=True, max_examples=150)
@@ -125,26 +125,30 @@
                 task = next(iter(book.ready.values()))
                 run = start_run(book, task, self.worker)
                 self._end(run, how, book=book)
-        stored = decode(encode(progress_of(job)), ProgressRecord, key='k')
+        stored = decode(
+            encode(build_progress_record(job)), ProgressRecord, key='k'
+        )
         other = JobBook()
         copy = restore_job(job.request, stored, revision=1, now_s=0)
         other.adopt(copy, now_s=0, now_ms=0)
         self.assertEqual(set(book.ready), set(other.ready))
         self.assertEqual(job.phase, copy.phase)
-        self.assertEqual(progress_of(job), progress_of(copy))
+        self.assertEqual(
+            build_progress_record(job), build_progress_record(copy)
+        )
 
     def _end(
         self,
         run: Run,
         how: RunEnd,
         *,
-        saved: str = '',
+        checkpoint: str = '',
         book: JobBook | None = None,
     ) -> None:
         (book or self.book).end(
             run,
             how,
-            saved=saved,
+            checkpoint=checkpoint,
             max_attempts=3,
             now_s=1,
         )
--- a/tests/scheduling/test_pacing.py
+++ b/tests/scheduling/test_pacing.py
@@ -158,7 +158,7 @@
             self.book.end(
                 run,
                 RunEnd.DONE,
-                saved='',
+                checkpoint='',
                 max_attempts=3,
                 now_s=9,
             )
--- a/tools/planner_cost.py
+++ b/tools/planner_cost.py
@@ -10,7 +10,7 @@
 
 import time
 
-from marjoramwharf.cells.records import encode, progress_of
+from marjoramwharf.cells.records import encode, build_progress_record
 from marjoramwharf.ids import DataCentreId, JobId, WorkerId
 from marjoramwharf.scheduling.fleet import (
     Fleet,
@@ -52,7 +52,7 @@
         began_s = time.process_time()
         placed = _place(planner)
         cost_us = (time.process_time() - began_s) * _US_PER_S / max(1, placed)
-        record_bytes = len(encode(progress_of(jobs[0])))
+        record_bytes = len(encode(build_progress_record(jobs[0])))
         print(
             f'{size} workers: {cost_us:.0f} us a task ({placed} placed), '
             f'{record_bytes} bytes for the progress of the first job',
