--- a/src/marjoramwharf/batch/runner.py
+++ b/src/marjoramwharf/batch/runner.py
@@ -21,7 +21,7 @@
 from marjoramwharf.batch.ordering import ready_tasks
 from marjoramwharf.batch.outcomes import Outcomes
 from marjoramwharf.batch.pauses import Pauses
-from marjoramwharf.batch.settling import RUNNING_PHASES, AgentOf, Settling
+from marjoramwharf.batch.settling import RUNNING_PHASES, AgentLookup, Settling
 from marjoramwharf.batch.shard import JobShard
 from marjoramwharf.batch.starts import Starts
 from marjoramwharf.ids import ShardId, TaskId, WorkerId
@@ -44,7 +44,7 @@
     def __init__(
         self,
         capacity: Capacity,
-        agent_of: AgentOf,
+        get_agent: AgentLookup,
         *,
         size_of: Callable[[TaskSpec], Demand] | None = None,
         limits: RunnerLimits | None = None,
@@ -57,10 +57,10 @@
         self._pauses = Pauses(self._limits.retry_s)
         # Tasks with a call under way; one call per task at a time.
         self._active: set[TaskId] = set()
-        self._settling = Settling(agent_of, self._outcomes, self._pauses)
+        self._settling = Settling(get_agent, self._outcomes, self._pauses)
         self._starts = Starts(
             capacity,
-            agent_of,
+            get_agent,
             self._outcomes,
             self._pauses,
             self.failing,
--- a/src/marjoramwharf/batch/settling.py
+++ b/src/marjoramwharf/batch/settling.py
@@ -17,7 +17,7 @@
 from marjoramwharf.ids import TaskId, WorkerId
 from marjoramwharf.machines.calls import TaskPhase, TaskReport, WorkerAgent
 
-AgentOf: TypeAlias = Callable[[WorkerId], WorkerAgent | None]
+AgentLookup: TypeAlias = Callable[[WorkerId], WorkerAgent | None]
 
 RUNNING_PHASES = frozenset((TaskPhase.RUNNING, TaskPhase.THROTTLED))
 
@@ -31,7 +31,7 @@
 class Settling:
     """Settles the attempts of the owned shards."""
 
-    agent_of: AgentOf
+    get_agent: AgentLookup
     outcomes: Outcomes
     pauses: Pauses
     _missed: dict[TaskId, int] = field(default_factory=dict)
@@ -41,7 +41,7 @@
         placement = task.placement
         agent = None
         if placement is not None:
-            agent = self.agent_of(placement.worker_id)
+            agent = self.get_agent(placement.worker_id)
         self.pauses.pause(task.task_id, trio.current_time())
         if agent is None:
             return False
@@ -76,7 +76,7 @@
             return
         # For example, the instance was gone from the list and came back. A
         # higher epoch belongs to a later owner.
-        agent = self.agent_of(worker_id)
+        agent = self.get_agent(worker_id)
         if agent is not None and report.fence[0] <= shard.epoch:
             with suppress(WorkerUnreachable):
                 await agent.stop_task(
--- a/src/marjoramwharf/batch/starts.py
+++ b/src/marjoramwharf/batch/starts.py
@@ -17,7 +17,7 @@
 from marjoramwharf.batch.job import Task, TaskSpec
 from marjoramwharf.batch.outcomes import Outcomes
 from marjoramwharf.batch.pauses import Pauses
-from marjoramwharf.batch.settling import RUNNING_PHASES, AgentOf
+from marjoramwharf.batch.settling import RUNNING_PHASES, AgentLookup
 from marjoramwharf.batch.shard import JobShard
 from marjoramwharf.errors import (
     Failure,
@@ -43,7 +43,7 @@
     """Starts tasks; ``size_of`` corrects their declared sizes."""
 
     capacity: Capacity
-    agent_of: AgentOf
+    get_agent: AgentLookup
     outcomes: Outcomes
     pauses: Pauses
     failing: FailingWorkers
@@ -118,7 +118,7 @@
 
     async def _call(self, worker_id: WorkerId, start: TaskStart) -> None:
         """Call the worker; the lease replies settle a lost answer."""
-        agent = self.agent_of(worker_id)
+        agent = self.get_agent(worker_id)
         if agent is None:
             return
         try:
--- a/src/marjoramwharf/contracts/heartbeats.py
+++ b/src/marjoramwharf/contracts/heartbeats.py
@@ -36,7 +36,7 @@
         self,
         desk: OwnerDesk,
         settings: CapacitySettings,
-        agent_of: Callable[[WorkerId], WorkerAgent],
+        get_agent: Callable[[WorkerId], WorkerAgent],
         now: Callable[[], float],
     ) -> None:
         """Keep the parts; ``now`` is the present in monotonic seconds."""
@@ -47,7 +47,7 @@
         self.revoked_count = 0
         self._desk = desk
         self._settings = settings
-        self._agent_of = agent_of
+        self._get_agent = get_agent
         self._now = now
 
     async def keep(self, ledger: WorkerLedger) -> None:
@@ -69,7 +69,7 @@
         sent_at_s = self._now()
         revoked = tuple(ledger.expired(sent_at_s))
         try:
-            reply = await self._agent_of(worker_id).lease(
+            reply = await self._get_agent(worker_id).lease(
                 ledger.epoch,
                 revoked=revoked,
                 lease_ms=self._settings.worker_lease_ms,
--- a/src/marjoramwharf/contracts/lending.py
+++ b/src/marjoramwharf/contracts/lending.py
@@ -86,7 +86,7 @@
 class CapacityKeeper:
     """Ledgers of the owned workers and the wallet of one entry.
 
-    ``agent_of`` returns the agent of a worker, ``now`` the present in
+    ``get_agent`` returns the agent of a worker, ``now`` the present in
     monotonic seconds. Set ``heartbeats.on_lease`` and
     ``heartbeats.on_superseded`` to follow the replies of the workers, and
     ``borrower.close_connections`` to close idle connections to a worker.
@@ -100,7 +100,7 @@
         wallet: Wallet,
         *,
         desk: OwnerDesk,
-        agent_of: Callable[[WorkerId], WorkerAgent],
+        get_agent: Callable[[WorkerId], WorkerAgent],
         peers: Callable[[], Mapping[EntryId, PeerCaller]],
         rng: random.Random,
         now: Callable[[], float] = trio.current_time,
@@ -110,7 +110,7 @@
         self.wallet = wallet
         self._identity = identity
         self._settings = settings
-        self.heartbeats = Heartbeats(desk, settings, agent_of, now)
+        self.heartbeats = Heartbeats(desk, settings, get_agent, now)
         self.heartbeats.on_leaving = self._tell_leaving
         self._peers = peers
         self._rng = rng
--- a/src/marjoramwharf/machines/_cuts.py
+++ b/src/marjoramwharf/machines/_aborted_connections.py
@@ -13,7 +13,7 @@
 _CUT_GRACE_S = 0.05
 
 
-class Cuts:
+class AbortedConnections:
     """Connections that were closed in the midst of an exchange.
 
     The worker counts such a connection until the close arrives. A new one in
@@ -25,14 +25,14 @@
         self._at_s: deque[float] = deque()
 
     @contextmanager
-    def unless_whole(self) -> Iterator[trio.Event]:
+    def track_exchange(self) -> Iterator[trio.Event]:
         """Note a cut unless the event is set within the block."""
         whole = trio.Event()
         with ExitStack() as stack:
             stack.callback(self._note, whole)
             yield whole
 
-    async def wait_for_room(self, limit: trio.CapacityLimiter) -> None:
+    async def wait_for_capacity(self, limit: trio.CapacityLimiter) -> None:
         """Wait until the runs and the cut connections fit into the limit."""
         while True:
             now_s = trio.current_time()
--- a/src/marjoramwharf/machines/agent.py
+++ b/src/marjoramwharf/machines/agent.py
@@ -29,14 +29,14 @@
     TaskId,
 )
 from marjoramwharf.json_bodies import decode_json
-from marjoramwharf.machines._cuts import Cuts
+from marjoramwharf.machines._aborted_connections import AbortedConnections
 from marjoramwharf.machines.agent_messages import (
     EXPECTED_INCARNATION_HEADER,
     INCARNATION_HEADER,
-    LeaseCall,
-    Refused,
-    StopCall,
-    ThrottleCall,
+    LeaseRequest,
+    RefusalReply,
+    StopRequest,
+    ThrottleRequest,
 )
 from marjoramwharf.machines.calls import (
     Call,
@@ -45,7 +45,7 @@
     CallOutcome,
     CallRefused,
     LeaseReply,
-    Settled,
+    SettleReply,
     TaskReport,
     TaskStart,
     UsageReport,
@@ -100,7 +100,7 @@
         self._control_timeout_s = control_timeout_s
         self._run_limit = trio.CapacityLimiter(max(connections_count - 1, 1))
         self._control_limit = trio.CapacityLimiter(1)
-        self._cuts = Cuts()
+        self._cuts = AbortedConnections()
         self._incarnation: Incarnation | None = None
         self._client = httpx.AsyncClient(
             base_url=url,
@@ -122,7 +122,7 @@
         """The worker's incarnation in its last answer, if there was one."""
         return self._incarnation
 
-    async def learn_incarnation(self) -> Incarnation:
+    async def fetch_incarnation(self) -> Incarnation:
         """Return the incarnation; asks the worker if it is not known yet."""
         if self._incarnation is None:
             await self._ask('GET', '/usage', None)
@@ -146,18 +146,18 @@
             span.set_attribute('request_id', call.request_id or '')
             with trio.move_on_after(call.timeout_ms / _MS_PER_S):
                 async with self._run_limit:
-                    await self._cuts.wait_for_room(self._run_limit)
+                    await self._cuts.wait_for_capacity(self._run_limit)
                     sent = True
                     return await self._send(call)
         if sent:
             return CallInDoubt(call.call_id, Reason.DEADLINE)
         return CallRefused(call.call_id, WorkerRefusal.FULL)
 
-    async def settle(self, call_id: CallId) -> Settled:
+    async def settle(self, call_id: CallId) -> SettleReply:
         """Find out what became of a call, and refuse it if never seen."""
         return await self._end_of(call_id, 'settle')
 
-    async def cancel(self, call_id: CallId) -> Settled:
+    async def cancel(self, call_id: CallId) -> SettleReply:
         """Stop a call; it is refused from then on if it was never seen."""
         return await self._end_of(call_id, 'cancel')
 
@@ -173,7 +173,7 @@
         The reply's epoch is the highest that the worker has acknowledged; a
         higher one than ``epoch`` means that nothing was extended.
         """
-        body = LeaseCall(epoch, self._entry_id, revoked, lease_ms)
+        body = LeaseRequest(epoch, self._entry_id, revoked, lease_ms)
         return _decoded(await self._ask('PUT', '/lease', body), LeaseReply)
 
     async def start_task(self, start: TaskStart) -> TaskReport | WorkerRefusal:
@@ -190,7 +190,7 @@
         with_checkpoint: bool,
     ) -> TaskReport:
         """Stop an attempt; phase ``UNKNOWN`` proves that it never ran."""
-        body = StopCall(fence, with_checkpoint)
+        body = StopRequest(fence, with_checkpoint)
         reply = await self._ask('POST', f'/tasks/{task_id}/stop', body)
         return _decoded(reply, TaskReport)
 
@@ -201,7 +201,7 @@
         cpu_share: float,
     ) -> TaskReport:
         """Limit a task to a share, 0 to 1, of the processors it asked for."""
-        body = ThrottleCall(cpu_share)
+        body = ThrottleRequest(cpu_share)
         reply = await self._ask('POST', f'/tasks/{task_id}/throttle', body)
         return _decoded(reply, TaskReport)
 
@@ -210,7 +210,7 @@
         return _decoded(await self._ask('GET', '/usage', None), UsageReport)
 
     async def _send(self, call: Call) -> CallOutcome:
-        with self._cuts.unless_whole() as whole:
+        with self._cuts.track_exchange() as whole:
             outcome = await self._exchange_run(call)
             if not isinstance(outcome, CallInDoubt):
                 whole.set()
@@ -240,9 +240,9 @@
             with trio.CancelScope(shield=True):
                 await response.aclose()
 
-    async def _end_of(self, call_id: CallId, action: str) -> Settled:
+    async def _end_of(self, call_id: CallId, action: str) -> SettleReply:
         reply = await self._ask('POST', f'/calls/{call_id}/{action}', None)
-        settled = _decoded(reply, Settled)
+        settled = _decoded(reply, SettleReply)
         if settled.answer is not None:
             if settled.answer.call_id != call_id:
                 message = f'{action}: answer to another call'
@@ -270,7 +270,7 @@
         body: object,
     ) -> httpx.Response:
         headers = {'Content-Type': 'application/json', **trace_headers()}
-        with self._cuts.unless_whole() as whole:
+        with self._cuts.track_exchange() as whole:
             try:
                 reply = await self._whole_reply(
                     self._client.build_request(
@@ -385,7 +385,7 @@
     if status != _REFUSED_STATUS:
         return None
     try:
-        return decode_json(body, Refused).refused
+        return decode_json(body, RefusalReply).refused
     except msgspec.MsgspecError:
         return None
 
--- a/src/marjoramwharf/machines/agent_messages.py
+++ b/src/marjoramwharf/machines/agent_messages.py
@@ -11,13 +11,13 @@
 EXPECTED_INCARNATION_HEADER = 'X-Expected-Incarnation'
 
 
-class Refused(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RefusalReply(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Body of a refusal; it proves that nothing was run or started."""
 
     refused: WorkerRefusal
 
 
-class LeaseCall(msgspec.Struct, frozen=True):
+class LeaseRequest(msgspec.Struct, frozen=True):
     """Body of a heartbeat that fences and extends a worker's lease."""
 
     epoch: Epoch
@@ -26,14 +26,14 @@
     lease_ms: int
 
 
-class StopCall(msgspec.Struct, frozen=True):
+class StopRequest(msgspec.Struct, frozen=True):
     """Body of a request to stop one attempt of a task."""
 
     fence: tuple[int, int]
     with_checkpoint: bool
 
 
-class ThrottleCall(msgspec.Struct, frozen=True):
+class ThrottleRequest(msgspec.Struct, frozen=True):
     """Body of a request to limit a task's processors; 0 to 1."""
 
     cpu_share: float
--- a/src/marjoramwharf/machines/agent_pool.py
+++ b/src/marjoramwharf/machines/agent_pool.py
@@ -7,7 +7,7 @@
 from marjoramwharf.errors import WorkerUnreachable
 from marjoramwharf.ids import EntryId, WorkerId
 from marjoramwharf.machines.agent import HttpWorkerAgent
-from marjoramwharf.machines.roster import Roster
+from marjoramwharf.machines.worker_table import WorkerTable
 
 
 class AgentPool:
@@ -15,23 +15,23 @@
 
     def __init__(
         self,
-        roster: Roster,
+        worker_table: WorkerTable,
         entry_id: EntryId,
         *,
         connections_count: int,
     ) -> None:
         """Bound each worker to ``connections_count`` connections."""
-        self._roster = roster
+        self._worker_table = worker_table
         self._entry_id = entry_id
         self._connections_count = connections_count
         self._agents: dict[WorkerId, tuple[str, HttpWorkerAgent]] = {}
 
-    def agent_of(self, worker_id: WorkerId) -> HttpWorkerAgent:
+    def get_agent(self, worker_id: WorkerId) -> HttpWorkerAgent:
         """Return the agent of a worker.
 
         Raises ``WorkerUnreachable`` for a worker that the list never had.
         """
-        worker = self._roster.find(worker_id)
+        worker = self._worker_table.find(worker_id)
         known = self._agents.get(worker_id)
         if known is not None and (worker is None or worker.url == known[0]):
             return known[1]
--- a/src/marjoramwharf/machines/calls.py
+++ b/src/marjoramwharf/machines/calls.py
@@ -106,7 +106,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
+class SettleReply:
     """Reply to a settlement; ``answer`` is set when the call finished.
 
     ``incarnation`` is that of the process which replied.
@@ -216,16 +216,16 @@
     def incarnation(self) -> Incarnation | None:
         """The worker's incarnation in its last answer, if there was one."""
 
-    async def learn_incarnation(self) -> Incarnation:
+    async def fetch_incarnation(self) -> Incarnation:
         """Return the incarnation; asks the worker if it is not known yet."""
 
     async def run(self, call: Call) -> CallOutcome:
         """Run a call and return its whole answer."""
 
-    async def settle(self, call_id: CallId) -> Settled:
+    async def settle(self, call_id: CallId) -> SettleReply:
         """Find out what became of a call, and refuse it if never seen."""
 
-    async def cancel(self, call_id: CallId) -> Settled:
+    async def cancel(self, call_id: CallId) -> SettleReply:
         """Stop a call; it is refused from then on if it was never seen."""
 
     async def lease(
--- a/src/marjoramwharf/machines/health.py
+++ b/src/marjoramwharf/machines/health.py
@@ -20,7 +20,7 @@
 
 
 @enum.unique
-class Verdict(enum.Enum):
+class HealthSignal(enum.Enum):
     """What one call says of its worker."""
 
     GOOD = 'good'
@@ -87,23 +87,23 @@
         for ejected in set(self._ejected) - worker_ids:
             self._ejected.pop(ejected)
 
-    def avoided(
+    def list_ejected(
         self,
         now_s: float,
         *,
-        with_probes: bool,
+        allow_probes: bool,
     ) -> frozenset[WorkerId]:
         """Return the workers that get no request now.
 
-        With ``with_probes``, workers that are due for a probe are left out.
+        With ``allow_probes``, workers that are due for a probe are left out.
         """
         return frozenset(
             worker_id
             for worker_id, ejection in self._ejected.items()
-            if not (with_probes and _is_due(ejection, now_s))
+            if not (allow_probes and _is_due(ejection, now_s))
         )
 
-    def admit(self, worker_id: WorkerId, now_s: float) -> bool:
+    def try_begin_call(self, worker_id: WorkerId, now_s: float) -> bool:
         """Begin a call; ``False`` if the worker must not get it now.
 
         A call to an ejected worker is its probe.
@@ -116,10 +116,10 @@
         ejection.probe_began_s = now_s
         return True
 
-    def ended(
+    def record_call_end(
         self,
         worker_id: WorkerId,
-        verdict: Verdict,
+        verdict: HealthSignal,
         now_s: float,
         *,
         start_s: float,
@@ -134,10 +134,10 @@
             began_s = ejection.probe_began_s
             if began_s is not None and start_s >= began_s:
                 self._probe_ended(worker_id, ejection, verdict, now_s)
-        elif verdict is not Verdict.NONE:
+        elif verdict is not HealthSignal.NONE:
             self._count(worker_id, verdict, now_s)
 
-    def good_share(self, worker_id: WorkerId, now_s: float) -> float:
+    def success_share(self, worker_id: WorkerId, now_s: float) -> float:
         """Return the share of good calls, 0 to 1, for the choice of worker.
 
         One imagined good call makes an unknown worker a good one, and lets
@@ -155,12 +155,12 @@
     def _count(
         self,
         worker_id: WorkerId,
-        verdict: Verdict,
+        verdict: HealthSignal,
         now_s: float,
     ) -> None:
         window = self._windows.setdefault(worker_id, _Window(now_s))
         window.turn(now_s)
-        if verdict is Verdict.GOOD:
+        if verdict is HealthSignal.GOOD:
             window.good_count += 1
             return
         window.failed_count += 1
@@ -180,14 +180,14 @@
         self,
         worker_id: WorkerId,
         ejection: _Ejection,
-        verdict: Verdict,
+        verdict: HealthSignal,
         now_s: float,
     ) -> None:
         ejection.probe_began_s = None
-        if verdict is Verdict.GOOD:
+        if verdict is HealthSignal.GOOD:
             self._ejected.pop(worker_id)
             self._windows.pop(worker_id, None)
-        elif verdict is Verdict.FAILED:
+        elif verdict is HealthSignal.FAILED:
             ejection.delay_s = min(ejection.delay_s * 2, _MAX_DELAY_S)
             ejection.probe_at_s = now_s + ejection.delay_s
 
--- a/src/marjoramwharf/machines/roster.py
+++ b/src/marjoramwharf/machines/worker_table.py
@@ -24,15 +24,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RosterChange:
+class WorkerTableChange:
     """What a list changed: new, altered and removed workers."""
 
     added: tuple[Worker, ...] = ()
-    altered: tuple[Worker, ...] = ()
-    gone: tuple[WorkerId, ...] = ()
+    updated: tuple[Worker, ...] = ()
+    removed: tuple[WorkerId, ...] = ()
 
 
-class Roster:
+class WorkerTable:
     """The workers of the latest list, with what heartbeats said since."""
 
     def __init__(self) -> None:
@@ -48,10 +48,10 @@
         """Revision of the latest list, -1 before the first."""
         return self._revision
 
-    def apply(self, listing: Listing) -> RosterChange:
+    def apply(self, listing: Listing) -> WorkerTableChange:
         """Take over a list, unless it is older than the latest."""
         if listing is self._latest or listing.revision < self._revision:
-            return RosterChange()
+            return WorkerTableChange()
         self._latest = listing
         self._revision = listing.revision
         former = self._known
@@ -67,21 +67,21 @@
         }
         gone = tuple(former.keys() - self._known.keys())
         self._leaving.difference_update(gone)
-        return RosterChange(
+        return WorkerTableChange(
             added=tuple(
                 worker
                 for worker_id, worker in self._known.items()
                 if worker_id not in former
             ),
-            altered=tuple(
+            updated=tuple(
                 worker
                 for worker_id, worker in self._known.items()
                 if former.get(worker_id, worker) != worker
             ),
-            gone=tuple(sorted(gone)),
+            removed=tuple(sorted(gone)),
         )
 
-    def report_leaving(self, worker_id: WorkerId) -> bool:
+    def mark_leaving(self, worker_id: WorkerId) -> bool:
         """Note a leaving state from a heartbeat, a refusal or a peer.
 
         Returns whether it is new.
--- a/src/marjoramwharf/programs/_batch_path.py
+++ b/src/marjoramwharf/programs/_batch_path.py
@@ -33,7 +33,7 @@
 from marjoramwharf.machines.agent import HttpWorkerAgent
 from marjoramwharf.machines.agent_pool import AgentPool
 from marjoramwharf.machines.calls import Demand, LeaseReply, TaskPhase
-from marjoramwharf.machines.roster import Roster
+from marjoramwharf.machines.worker_table import WorkerTable
 from marjoramwharf.machines.worker import Worker
 from marjoramwharf.programs._class_usage import ClassUsageFollower
 from marjoramwharf.programs._job_routing import JobRouting, now_ms
@@ -71,7 +71,7 @@
     ownership: Ownership
     capacity_ownership: Ownership
     view: MemberView
-    roster: Roster
+    worker_table: WorkerTable
     keeper: CapacityKeeper
     agents: AgentPool
     peers: Callable[[], Mapping[EntryId, PeerClient]]
@@ -111,12 +111,12 @@
         )
         self._usage = ClassUsageFollower(
             desk,
-            agent_of=self._agent_of,
+            get_agent=self._get_agent,
             clock=parts.clock,
         )
         self.runner = Runner(
             self.capacity,
-            self._agent_of,
+            self._get_agent,
             size_of=self._size_of,
         )
         self.reports = TaskReports(
@@ -195,7 +195,7 @@
         if self._sizes - former:
             self._must_reconsider = True
         for worker_id in tuple(self._gone_at_s):
-            if self._parts.roster.find(worker_id) is not None:
+            if self._parts.worker_table.find(worker_id) is not None:
                 self._gone_at_s.pop(worker_id)
 
     def instance_gone(self, worker_id: WorkerId) -> None:
@@ -215,7 +215,7 @@
         lost before.
         """
         for worker_id in self.runner.held_workers():
-            if self._parts.roster.find(worker_id) is None:
+            if self._parts.worker_table.find(worker_id) is None:
                 self.instance_gone(worker_id)
 
     def _seen(self, worker_id: WorkerId) -> None:
@@ -239,9 +239,9 @@
     def _records(self) -> Mapping[ShardId, OwnerRecord]:
         return self._parts.ownership.records()
 
-    def _agent_of(self, worker_id: WorkerId) -> HttpWorkerAgent | None:
+    def _get_agent(self, worker_id: WorkerId) -> HttpWorkerAgent | None:
         try:
-            return self._parts.agents.agent_of(worker_id)
+            return self._parts.agents.get_agent(worker_id)
         except WorkerUnreachable:
             return None
 
@@ -265,7 +265,7 @@
     def _measure_workers(self) -> None:
         self._sizes = frozenset(
             _batch_size(worker, self._reserved_of(worker))
-            for worker in self._parts.roster.known()
+            for worker in self._parts.worker_table.known()
         )
 
     async def _forget(self) -> None:
@@ -315,7 +315,7 @@
         attempt: AttemptKey,
     ) -> None:
         """Free a reservation after the worker has refused its attempt."""
-        agent = self._agent_of(worker_id)
+        agent = self._get_agent(worker_id)
         if agent is None:
             return
         try:
--- a/src/marjoramwharf/programs/_class_usage.py
+++ b/src/marjoramwharf/programs/_class_usage.py
@@ -37,13 +37,13 @@
         self,
         desk: OwnerDesk,
         *,
-        agent_of: Callable[[WorkerId], WorkerAgent | None],
+        get_agent: Callable[[WorkerId], WorkerAgent | None],
         clock: Callable[[], float],
     ) -> None:
         """Start without observations."""
         self.estimates = SizeEstimates()
         self._desk = desk
-        self._agent_of = agent_of
+        self._get_agent = get_agent
         self._clock = clock
 
     def correct(self, task_class: str, declared: Demand) -> Demand:
@@ -63,7 +63,7 @@
             await trio.sleep(1 / _POLLS_PER_S)
 
     async def _poll(self, worker_id: WorkerId) -> None:
-        agent = self._agent_of(worker_id)
+        agent = self._get_agent(worker_id)
         ledger = self._desk.ledgers.get(worker_id)
         if agent is None or ledger is None or not ledger.reservations.held():
             return
--- a/src/marjoramwharf/programs/_gauges.py
+++ b/src/marjoramwharf/programs/_gauges.py
@@ -121,7 +121,7 @@
         self._count(
             'queue_waiting_seconds_total',
             'Time that requests have waited for a permit.',
-            lambda: {'': sum(queue.waited_s for queue in path.queues())},
+            lambda: {'': sum(queue.total_wait_s for queue in path.queues())},
         )
         self._count(
             'queue_shed_total',
--- a/src/marjoramwharf/programs/_job_routing.py
+++ b/src/marjoramwharf/programs/_job_routing.py
@@ -47,7 +47,7 @@
 
     async def route(self, shard: ShardId, method: str, body: bytes) -> Answer:
         """Pass a job call to the owner of its shard."""
-        with self._gate.passing():
+        with self._gate.track_request():
             owned = self._runner.shard(shard)
             if owned is not None:
                 return await answer_job_call(owned, body, now_ms())
--- a/src/marjoramwharf/programs/_platform.py
+++ b/src/marjoramwharf/programs/_platform.py
@@ -14,7 +14,7 @@
 from marjoramwharf.links.directory import DirectoryClient
 from marjoramwharf.links.members import MemberView
 from marjoramwharf.logs import part_logger
-from marjoramwharf.machines.roster import Roster
+from marjoramwharf.machines.worker_table import WorkerTable
 from marjoramwharf.settings import CapacitySettings
 
 # Bounds how late a lost or free shard is noticed when no member changes.
@@ -41,7 +41,7 @@
     """Polls the platform's list into the roster."""
 
     client: DirectoryClient
-    roster: Roster
+    worker_table: WorkerTable
     poll_s: float
     on_change: Callable[[], None]
     on_gone: Callable[[str], None]
@@ -65,9 +65,9 @@
         except (DirectoryUnavailable, BadListing) as failure:
             _log.warning('list not read', cause=failure.message)
             return False
-        change = self.roster.apply(listing)
+        change = self.worker_table.apply(listing)
         self.on_change()
-        for worker_id in change.gone:
+        for worker_id in change.removed:
             self.on_gone(worker_id)
         return True
 
@@ -78,7 +78,7 @@
 
     ownership: Ownership
     view: MemberView
-    roster: Roster
+    worker_table: WorkerTable
     keeper: CapacityKeeper
     settings: CapacitySettings
     clock: Callable[[], float]
@@ -94,7 +94,9 @@
 
     async def assign(self) -> None:
         """Own the workers of the owned shards and disown the others."""
-        listed = {worker.worker_id: worker for worker in self.roster.known()}
+        listed = {
+            worker.worker_id: worker for worker in self.worker_table.known()
+        }
         waiting = assign_workers(
             self.keeper,
             listed,
--- a/src/marjoramwharf/programs/_service_path.py
+++ b/src/marjoramwharf/programs/_service_path.py
@@ -19,12 +19,12 @@
 from marjoramwharf.machines.agent_pool import AgentPool
 from marjoramwharf.machines.calls import WorkerRefusal
 from marjoramwharf.machines.health import WorkerHealth
-from marjoramwharf.machines.roster import Roster
+from marjoramwharf.machines.worker_table import WorkerTable
 from marjoramwharf.service.admission import Admission
 from marjoramwharf.service.admission_queue import AdmissionQueue
 from marjoramwharf.service.dispatch import Dispatcher
-from marjoramwharf.service.dispatch_parts import DispatchParts
-from marjoramwharf.service.latency import LatencyBook
+from marjoramwharf.service.dispatch_dependencies import DispatchDependencies
+from marjoramwharf.service.latency import LatencyEstimator
 from marjoramwharf.service.request import NotRun, Outcome, ServiceRequest
 from marjoramwharf.service.retry import RetryBudget, RetryPolicy
 from marjoramwharf.service.router import Router
@@ -44,7 +44,7 @@
     settings: ServiceSettings
     topology: Topology
     home: DataCentreId
-    roster: Roster
+    worker_table: WorkerTable
     keeper: CapacityKeeper
     agents: AgentPool
     claims: Claims
@@ -60,7 +60,7 @@
         self._parts = parts
         self.services: frozenset[str] = frozenset()
         self._queues: dict[ServiceId, Admission] = {}
-        self._latencies = LatencyBook()
+        self._latencies = LatencyEstimator()
         self._router = Router(
             permits=parts.keeper.wallet,
             latencies=self._latencies,
@@ -71,14 +71,14 @@
             max_ejected_share=parts.settings.max_ejected_share,
         )
         self.settlement = Settlement(
-            parts.agents.agent_of,
+            parts.agents.get_agent,
             self._release,
             parts.rng,
         )
         self._policy = RetryPolicy(
             RetryBudget(parts.settings.retry_budget_share, parts.clock()),
         )
-        self._dispatcher = Dispatcher(self._dispatch_parts())
+        self._dispatcher = Dispatcher(self._dispatch_dependencies())
         parts.keeper.on_supplied = self._on_supplied
 
     async def run(self) -> None:
@@ -98,7 +98,7 @@
             team,
             key,
             claims=self._parts.claims,
-            agent_of=self._parts.agents.agent_of,
+            get_agent=self._parts.agents.get_agent,
             rng=self._parts.rng,
             timeout_s=_LOOKUP_TIMEOUT_S,
         )
@@ -113,11 +113,13 @@
             service.name for service in configuration.services
         )
         self._router.routing = configuration.policy.routing
-        self._policy.is_hedging = self._router.routing is Routing.PREDICTED
+        self._policy.is_hedging_enabled = (
+            self._router.routing is Routing.PREDICTED
+        )
 
     def workers_changed(self) -> None:
         """Follow a change of the roster."""
-        live = self._parts.roster.live()
+        live = self._parts.worker_table.live()
         self.health.set_workers(
             frozenset(worker.worker_id for worker in live),
         )
@@ -136,17 +138,17 @@
             for queue in tuple(self._queues.values()):
                 queue.serve()
 
-    def _dispatch_parts(self) -> DispatchParts:
-        return DispatchParts(
+    def _dispatch_dependencies(self) -> DispatchDependencies:
+        return DispatchDependencies(
             acquire=self._acquire,
             acquire_idle=self._acquire_idle,
             release=self._release,
             refused=self._refused,
             observe=self._latencies.observe,
-            observe_at_least=self._latencies.observe_at_least,
-            doubt=self._doubt,
-            abandon=self._abandon,
-            agent_of=self._parts.agents.agent_of,
+            observe_lower_bound=self._latencies.observe_lower_bound,
+            enqueue_settle=self._doubt,
+            enqueue_cancel=self._abandon,
+            get_agent=self._parts.agents.get_agent,
             claims=self._parts.claims,
             policy=self._policy,
             health=self.health,
@@ -213,28 +215,28 @@
 
     def _refused(self, permit: Permit, refusal: WorkerRefusal) -> None:
         if refusal is WorkerRefusal.LEAVING:
-            self._parts.roster.report_leaving(permit.worker_id)
+            self._parts.worker_table.mark_leaving(permit.worker_id)
         self._parts.keeper.refused(permit, refusal)
         self._call_ended(permit)
 
     def _doubt(self, permit: Permit, call_id: CallId) -> None:
         self._parts.keeper.wallet.mark_in_doubt(permit)
-        self.settlement.doubt(permit, call_id)
+        self.settlement.enqueue_settle(permit, call_id)
 
     def _abandon(self, permit: Permit, call_id: CallId) -> None:
         self._parts.keeper.wallet.mark_in_doubt(permit)
-        self.settlement.abandon(permit, call_id)
+        self.settlement.enqueue_cancel(permit, call_id)
 
     def _call_ended(self, permit: Permit) -> None:
-        self._router.ended(permit)
+        self._router.record_call_end(permit)
         for queue in self._queues.values():
-            queue.released()
+            queue.on_permit_released()
 
     def _service_time_s(self, service: ServiceId) -> float:
         return self._latencies.mean_ms(service) / 1_000
 
     def _round_trip_ms(self, worker_id: WorkerId) -> float:
-        worker = self._parts.roster.find(worker_id)
+        worker = self._parts.worker_table.find(worker_id)
         if worker is None:
             return 0
         one_way_ms = self._parts.topology.delay_ms(
--- a/src/marjoramwharf/programs/_web.py
+++ b/src/marjoramwharf/programs/_web.py
@@ -73,7 +73,7 @@
     async def drain() -> Response:
         refused = _refusal(parts)
         if refused is None:
-            parts.gate.request()
+            parts.gate.request_shutdown()
         return refused or _json({'draining': True}, status=202)
 
     return blueprint
--- a/src/marjoramwharf/programs/entry.py
+++ b/src/marjoramwharf/programs/entry.py
@@ -40,7 +40,7 @@
 from marjoramwharf.links.store_guard import GuardedStore
 from marjoramwharf.logs import configure_logs, part_logger
 from marjoramwharf.machines.agent_pool import AgentPool
-from marjoramwharf.machines.roster import Roster
+from marjoramwharf.machines.worker_table import WorkerTable
 from marjoramwharf.metrics import Metrics
 from marjoramwharf.programs._batch_path import BatchPath, BatchPathParts
 from marjoramwharf.programs._gauges import GaugeParts, Gauges
@@ -53,7 +53,10 @@
 from marjoramwharf.programs._service_path import ServicePath, ServicePathParts
 from marjoramwharf.programs._web import WebParts, build_app
 from marjoramwharf.service.drain import DrainGate
-from marjoramwharf.service.http_api import ServiceParts, service_blueprint
+from marjoramwharf.service.http_api import (
+    ServiceDependencies,
+    service_blueprint,
+)
 from marjoramwharf.settings import EntrySettings, load_entry_settings
 from marjoramwharf.tracing import configure_tracing
 from marjoramwharf.zones.topology import build_topology
@@ -88,9 +91,9 @@
         )
         self.metrics = Metrics()
         self.gate = DrainGate()
-        self.roster = Roster()
+        self.worker_table = WorkerTable()
         self.agents = AgentPool(
-            self.roster,
+            self.worker_table,
             settings.identity,
             connections_count=settings.capacity.connections_per_session,
         )
@@ -124,7 +127,7 @@
             ),
             note_blueprint(self.notes, is_operator),
             service_blueprint(
-                ServiceParts(
+                ServiceDependencies(
                     serve=self.path.serve,
                     look_up=self.path.look_up,
                     services=lambda: self.path.services,
@@ -139,7 +142,7 @@
 
     def is_ready(self) -> bool:
         """Tell whether the entry may get requests."""
-        return self.notes.is_synchronised and bool(self.roster.known())
+        return self.notes.is_synchronised and bool(self.worker_table.known())
 
     def status(self) -> dict[str, Any]:
         """Return what operators see of this entry."""
@@ -150,7 +153,7 @@
             'revision': self.notes.current.revision,
             'store': self.store.health.value,
             'owned_workers': len(self.keeper.desk.ledgers),
-            'known_workers': len(self.roster.known()),
+            'known_workers': len(self.worker_table.known()),
             'in_flight': self.gate.in_flight_count,
             'waiting': self.path.waiting_count(),
             'in_doubt': self.path.settlement.in_doubt_count,
@@ -187,7 +190,7 @@
             settings.capacity,
             Wallet(self._services_of),
             desk=OwnerDesk(),
-            agent_of=self.agents.agent_of,
+            get_agent=self.agents.get_agent,
             peers=self.peers.clients,
             rng=self.rng,
         )
@@ -195,7 +198,7 @@
         self.shards = ShardFollower(
             ownership=self.ownership,
             view=self.members,
-            roster=self.roster,
+            worker_table=self.worker_table,
             keeper=self.keeper,
             settings=settings.capacity,
             clock=trio.current_time,
@@ -213,7 +216,7 @@
                 settings=settings.service,
                 topology=build_topology(settings.topology),
                 home=settings.home,
-                roster=self.roster,
+                worker_table=self.worker_table,
                 keeper=self.keeper,
                 agents=self.agents,
                 claims=Claims(
@@ -229,7 +232,7 @@
         self.notes.add_listener(self.path.put_in_force)
         self.list_follower = ListFollower(
             client=self.directory,
-            roster=self.roster,
+            worker_table=self.worker_table,
             poll_s=settings.directory.poll_ms / _MS_PER_S,
             on_change=self._workers_changed,
             on_gone=self._instance_gone,
@@ -254,7 +257,7 @@
                 ownership=self.job_ownership,
                 capacity_ownership=self.ownership,
                 view=self.members,
-                roster=self.roster,
+                worker_table=self.worker_table,
                 keeper=self.keeper,
                 agents=self.agents,
                 peers=self.peers.clients,
@@ -274,7 +277,7 @@
         self.batch.instance_gone(WorkerId(name))
 
     def _services_of(self, worker_id: WorkerId) -> frozenset[str]:
-        worker = self.roster.find(worker_id)
+        worker = self.worker_table.find(worker_id)
         return frozenset() if worker is None else worker.services
 
 
@@ -287,7 +290,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_stop_on_signal, entry.gate)
                 await _start(entry, nursery)
-                await entry.gate.requested.wait()
+                await entry.gate.shutdown_requested.wait()
                 await _stop(entry)
                 nursery.cancel_scope.cancel()
             await entry.agents.aclose()
@@ -354,7 +357,7 @@
 async def _stop_on_signal(gate: DrainGate) -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         await anext(signals)
-        gate.request()
+        gate.request_shutdown()
 
 
 def _ownership(store: Store, entry: Entry, prefix: str) -> Ownership:
--- a/src/marjoramwharf/service/_attempts.py
+++ b/src/marjoramwharf/service/_attempts.py
@@ -17,10 +17,10 @@
     CallRefused,
     WorkerRefusal,
 )
-from marjoramwharf.machines.health import Verdict
-from marjoramwharf.service.dispatch_parts import DispatchParts
+from marjoramwharf.machines.health import HealthSignal
+from marjoramwharf.service.dispatch_dependencies import DispatchDependencies
 from marjoramwharf.service.request import Done, NotRun, ServiceRequest
-from marjoramwharf.service.retry import is_good
+from marjoramwharf.service.retry import is_successful
 from marjoramwharf.tracing import hop
 
 _MS_PER_S = 1_000
@@ -35,10 +35,10 @@
     outcome: CallOutcome | None = None
 
 
-class Attempts:
+class AttemptRunner:
     """Acquires permits and runs calls; every permit is accounted for."""
 
-    def __init__(self, parts: DispatchParts) -> None:
+    def __init__(self, parts: DispatchDependencies) -> None:
         """Keep the parts."""
         self._parts = parts
 
@@ -53,14 +53,14 @@
         """
         health = self._parts.health
         for _ in range(_ADMIT_TRIES_COUNT):
-            ejected = health.avoided(
+            ejected = health.list_ejected(
                 self._parts.clock(),
-                with_probes=request.is_idempotent,
+                allow_probes=request.is_idempotent,
             )
             permit = await self._parts.acquire(request, avoided | ejected)
             if isinstance(permit, NotRun):
                 return permit
-            if health.admit(permit.worker_id, self._parts.clock()):
+            if health.try_begin_call(permit.worker_id, self._parts.clock()):
                 return permit
             self._parts.release(permit)
         return NotRun(Reason.NO_CAPACITY, 'no healthy worker', 1)
@@ -72,11 +72,11 @@
     ) -> Permit | None:
         """Return a permit of a healthy worker if one is idle now."""
         now_s = self._parts.clock()
-        ejected = self._parts.health.avoided(now_s, with_probes=False)
+        ejected = self._parts.health.list_ejected(now_s, allow_probes=False)
         permit = self._parts.acquire_idle(request, avoided | ejected)
         if permit is None:
             return None
-        if self._parts.health.admit(permit.worker_id, now_s):
+        if self._parts.health.try_begin_call(permit.worker_id, now_s):
             return permit
         self._parts.release(permit)
         return None
@@ -90,28 +90,28 @@
 
         The permit is put back in the latter case.
         """
-        verdict = Verdict.NONE
+        verdict = HealthSignal.NONE
         try:
             with trio.move_on_after(timeout_s):
-                agent = self._parts.agent_of(permit.worker_id)
-                return await agent.learn_incarnation()
+                agent = self._parts.get_agent(permit.worker_id)
+                return await agent.fetch_incarnation()
         except WorkerUnreachable:
-            verdict = Verdict.FAILED
+            verdict = HealthSignal.FAILED
         except BaseException:
-            self.give_up(permit)
+            self.release_unused(permit)
             raise
-        self.give_up(permit, verdict)
+        self.release_unused(permit, verdict)
         return None
 
-    def give_up(
+    def release_unused(
         self,
         permit: Permit,
-        verdict: Verdict = Verdict.NONE,
+        verdict: HealthSignal = HealthSignal.NONE,
     ) -> None:
         """Put back a permit that was not used."""
         self._parts.release(permit)
         now_s = self._parts.clock()
-        self._parts.health.ended(
+        self._parts.health.record_call_end(
             permit.worker_id,
             verdict,
             now_s,
@@ -132,7 +132,7 @@
         start_s = self._parts.clock()
         timeout_ms = int((request.deadline_s - start_s) * _MS_PER_S)
         if timeout_ms <= 0:
-            self.give_up(permit)
+            self.release_unused(permit)
             return CallRefused(call_id, WorkerRefusal.NOT_CONNECTED)
         attempt = _Attempt(permit, call_id, start_s)
         call = _call(request, permit, call_id, timeout_ms)
@@ -148,7 +148,7 @@
 
     async def _send(self, call: Call) -> CallOutcome:
         try:
-            agent = self._parts.agent_of(call.permit.worker_id)
+            agent = self._parts.get_agent(call.permit.worker_id)
         except WorkerUnreachable:
             return CallRefused(call.call_id, WorkerRefusal.NOT_CONNECTED)
         if call.incarnation is None:
@@ -159,7 +159,7 @@
         now_s = self._parts.clock()
         outcome = attempt.outcome
         worker_id = attempt.permit.worker_id
-        self._parts.health.ended(
+        self._parts.health.record_call_end(
             worker_id,
             _verdict(outcome),
             now_s,
@@ -170,18 +170,18 @@
         elif isinstance(outcome, CallAnswer):
             self._parts.release(attempt.permit)
         elif request.is_idempotent:
-            self._parts.abandon(attempt.permit, attempt.call_id)
+            self._parts.enqueue_cancel(attempt.permit, attempt.call_id)
         else:
-            self._parts.doubt(attempt.permit, attempt.call_id)
+            self._parts.enqueue_settle(attempt.permit, attempt.call_id)
         latency_s = now_s - attempt.start_s
         if outcome is None:
-            self._parts.observe_at_least(
+            self._parts.observe_lower_bound(
                 request.service,
                 worker_id,
                 latency_s * _MS_PER_S,
                 now_s,
             )
-        elif is_good(outcome):
+        elif is_successful(outcome):
             self._parts.policy.observe(request.service, latency_s)
             self._parts.observe(
                 request.service,
@@ -191,21 +191,21 @@
             )
 
 
-def done(answer: CallAnswer) -> Done:
+def build_done(answer: CallAnswer) -> Done:
     """Return an answer as the outcome of a request."""
     return Done(answer.status, answer.content_type, answer.body)
 
 
-def _verdict(outcome: CallOutcome | None) -> Verdict:
+def _verdict(outcome: CallOutcome | None) -> HealthSignal:
     """Judge a worker; refusals and cancelled calls say nothing of it."""
     if outcome is None:
-        return Verdict.NONE
-    if is_good(outcome):
-        return Verdict.GOOD
+        return HealthSignal.NONE
+    if is_successful(outcome):
+        return HealthSignal.GOOD
     if isinstance(outcome, CallRefused):
         if outcome.refusal is not WorkerRefusal.NOT_CONNECTED:
-            return Verdict.NONE
-    return Verdict.FAILED
+            return HealthSignal.NONE
+    return HealthSignal.FAILED
 
 
 def _call(
--- a/src/marjoramwharf/service/_claimed.py
+++ b/src/marjoramwharf/service/_claimed.py
@@ -18,8 +18,8 @@
 from marjoramwharf.errors import Failure, Reason
 from marjoramwharf.ids import CallId, Incarnation, WorkerId, random_id
 from marjoramwharf.machines.calls import CallAnswer, CallRefused
-from marjoramwharf.service._attempts import Attempts, done
-from marjoramwharf.service.dispatch_parts import DispatchParts
+from marjoramwharf.service._attempts import AttemptRunner, build_done
+from marjoramwharf.service.dispatch_dependencies import DispatchDependencies
 from marjoramwharf.service.request import (
     Done,
     NotRun,
@@ -58,7 +58,9 @@
     caller is told "not run", since another entry may hold it too.
     """
 
-    def __init__(self, parts: DispatchParts, attempts: Attempts) -> None:
+    def __init__(
+        self, parts: DispatchDependencies, attempts: AttemptRunner
+    ) -> None:
         """Keep the parts."""
         self._parts = parts
         self._attempts = attempts
@@ -102,11 +104,11 @@
         try:
             claimed = await self._claim(request, key, target, open_claim)
         except BaseException:
-            self._attempts.give_up(permit)
+            self._attempts.release_unused(permit)
             raise
         if isinstance(claimed, Held):
             return await self._run(request, key, permit, claimed.claim)
-        self._attempts.give_up(permit)
+        self._attempts.release_unused(permit)
         if isinstance(claimed, Found):
             return await self._resolve(request, key, claimed.claim)
         if isinstance(claimed, Gone):
@@ -160,7 +162,7 @@
         )
         if isinstance(outcome, CallAnswer):
             self._parts.claims.complete(claim, outcome)
-            return done(outcome)
+            return build_done(outcome)
         if isinstance(outcome, CallRefused):
             return NeverRan(claim)
         return await self._resolve(request, key, claim)
@@ -181,7 +183,7 @@
             claim,
             key,
             claims=self._parts.claims,
-            agent_of=self._parts.agent_of,
+            get_agent=self._parts.get_agent,
             rng=self._parts.rng,
             timeout_s=self._left_s(request),
         )
--- a/src/marjoramwharf/service/_idempotent.py
+++ b/src/marjoramwharf/service/_idempotent.py
@@ -15,15 +15,15 @@
     CallInDoubt,
     CallOutcome,
 )
-from marjoramwharf.service._attempts import Attempts, done
-from marjoramwharf.service.dispatch_parts import DispatchParts
+from marjoramwharf.service._attempts import AttemptRunner, build_done
+from marjoramwharf.service.dispatch_dependencies import DispatchDependencies
 from marjoramwharf.service.request import (
     NotRun,
     Outcome,
     ServiceRequest,
     Unknown,
 )
-from marjoramwharf.service.retry import backoff_s, is_good
+from marjoramwharf.service.retry import backoff_s, is_successful
 
 
 # How often an idle slot is looked for once a hedged call is due.
@@ -42,14 +42,16 @@
         """Stop the others after a good answer, or if none runs any more."""
         self.outcomes.append(outcome)
         self.running_count -= 1
-        if is_good(outcome) or not self.running_count:
+        if is_successful(outcome) or not self.running_count:
             self.nursery.cancel_scope.cancel()
 
 
 class IdempotentDispatch:
     """Serves requests that may run more than once."""
 
-    def __init__(self, parts: DispatchParts, attempts: Attempts) -> None:
+    def __init__(
+        self, parts: DispatchDependencies, attempts: AttemptRunner
+    ) -> None:
         """Keep the parts."""
         self._parts = parts
         self._attempts = attempts
@@ -78,7 +80,7 @@
         attempts_count: int,
     ) -> bool:
         now_s = self._parts.clock()
-        if now_s >= request.deadline_s or any(map(is_good, seen)):
+        if now_s >= request.deadline_s or any(map(is_successful, seen)):
             return False
         return self._parts.policy.may_retry(
             seen[-1],
@@ -123,11 +125,11 @@
         while permit is None:
             await trio.sleep(_IDLE_POLL_S)
             permit = self._attempts.acquire_idle(request, avoided)
-        if self._parts.policy.budget.take(self._parts.clock()):
+        if self._parts.policy.budget.try_spend(self._parts.clock()):
             race.running_count += 1
             await self._run(request, permit, race)
         else:
-            self._attempts.give_up(permit)
+            self._attempts.release_unused(permit)
 
     async def _run(
         self,
@@ -143,7 +145,7 @@
     """Return the best outcome; "not run" only if no call may have run."""
     answers = [found for found in seen if isinstance(found, CallAnswer)]
     if answers:
-        return done(max(answers, key=is_good))
+        return build_done(max(answers, key=is_successful))
     for outcome in seen:
         if isinstance(outcome, CallInDoubt):
             return Unknown(outcome.reason, 'no whole answer arrived', None)
--- a/src/marjoramwharf/service/admission.py
+++ b/src/marjoramwharf/service/admission.py
@@ -15,10 +15,10 @@
 from marjoramwharf.contracts.permits import Permit
 from marjoramwharf.errors import Reason
 from marjoramwharf.ids import ServiceId, WorkerId
-from marjoramwharf.service.admission_queue import AdmissionQueue, Waiting
+from marjoramwharf.service.admission_queue import AdmissionQueue, QueuedRequest
 from marjoramwharf.service.request import NotRun, ServiceRequest
 
-Choose = Callable[[ServiceId, frozenset[WorkerId], float], Permit | None]
+ChoosePermit = Callable[[ServiceId, frozenset[WorkerId], float], Permit | None]
 Clock = Callable[[], float]
 
 # Weight of the newest second in the drain rate.
@@ -29,13 +29,13 @@
 class _Place:
     """A waiting request with the event that wakes its task."""
 
-    waiting: Waiting
+    waiting: QueuedRequest
     excluded: frozenset[WorkerId]
     woken: trio.Event
     outcome: Permit | NotRun | None = None
 
 
-class DrainMeter:
+class ReleaseRateMeter:
     """Rate at which permits come free, as a moving average per second."""
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
         self,
         *,
         queue: AdmissionQueue,
-        choose: Choose,
+        choose: ChoosePermit,
         put_back: Callable[[Permit], None],
         service_time_s: Callable[[ServiceId], float],
         clock: Clock,
@@ -78,7 +78,7 @@
         ``put_back`` takes the permit of a request that was cancelled between
         the hand-over and its next step.
         """
-        self.waited_s: float = 0
+        self.total_wait_s: float = 0
         self.shed_counts: Counter[Reason] = Counter()
         self._queue = queue
         self._choose = choose
@@ -86,7 +86,7 @@
         self._service_time_s = service_time_s
         self._clock = clock
         self._places: dict[int, _Place] = {}
-        self._drain = DrainMeter()
+        self._drain = ReleaseRateMeter()
 
     @property
     def waiting_count(self) -> int:
@@ -106,7 +106,7 @@
             permit = self._choose(request.service, excluded, now_s)
             if permit is not None:
                 return permit
-        place = _Place(Waiting(request), excluded, trio.Event())
+        place = _Place(QueuedRequest(request), excluded, trio.Event())
         self._enqueue(place, now_s)
         return await self._wait(place, now_s)
 
@@ -120,7 +120,7 @@
             return None
         return self._choose(request.service, excluded, self._clock())
 
-    def released(self) -> None:
+    def on_permit_released(self) -> None:
         """Note that a permit came free and serve the queue."""
         self._drain.count(self._clock())
         self.serve()
@@ -132,7 +132,7 @@
         requests behind it.
         """
         now_s = self._clock()
-        blocked: list[Waiting] = []
+        blocked: list[QueuedRequest] = []
         while len(self._queue):
             waiting = self._queue.pop(now_s, service_time_s=0)
             if waiting is None:
@@ -150,7 +150,7 @@
             if not place.excluded:
                 break
         for held_up in reversed(blocked):
-            self._queue.push_back(held_up)
+            self._queue.push_front(held_up)
 
     def _enqueue(self, place: _Place, now_s: float) -> None:
         self._places[id(place.waiting)] = place
@@ -158,7 +158,7 @@
             place.waiting,
             now_s=now_s,
             service_time_s=self._service_time_s(place.waiting.request.service),
-            drain_per_s=self._drain.per_s,
+            release_rate_per_s=self._drain.per_s,
         )
         for dropped in shed:
             self._resolve(self._places[id(dropped.waiting)], dropped.answer)
@@ -180,7 +180,7 @@
         return outcome
 
     def _leave(self, place: _Place, since_s: float) -> None:
-        self.waited_s += self._clock() - since_s
+        self.total_wait_s += self._clock() - since_s
         self._places.pop(id(place.waiting), None)
         self._queue.discard(place.waiting)
 
--- a/src/marjoramwharf/service/admission_queue.py
+++ b/src/marjoramwharf/service/admission_queue.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
+class QueuedRequest:
     """A request in the queue."""
 
     request: ServiceRequest
@@ -26,21 +26,21 @@
 
 @dataclass(slots=True)
 class _TeamQueue:
-    waiting: deque[Waiting] = field(default_factory=deque)
+    waiting: deque[QueuedRequest] = field(default_factory=deque)
     # Virtual time at which the team's next request starts.
     start: float = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Shed:
+class ShedRequest:
     """A request that was taken out of the queue, with the reason."""
 
-    waiting: Waiting
+    waiting: QueuedRequest
     answer: NotRun
 
 
 class AdmissionQueue:
-    """Waiting requests by priority and team; it does no waiting itself."""
+    """QueuedRequest requests by priority and team; it does no waiting itself."""
 
     def __init__(self, *, limit: int, team_share: float) -> None:
         """Bound the queue to ``limit`` requests.
@@ -62,31 +62,35 @@
 
     def offer(
         self,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         *,
         now_s: float,
         service_time_s: float,
-        drain_per_s: float,
-    ) -> tuple[Shed, ...]:
+        release_rate_per_s: float,
+    ) -> tuple[ShedRequest, ...]:
         """Add a request and return those that are shed for it.
 
         ``service_time_s`` is the time that the service itself takes and
-        ``drain_per_s`` the rate at which permits came free of late. The
+        ``release_rate_per_s`` the rate at which permits came free of late. The
         offered request is among the shed ones if it was refused.
         """
         request = waiting.request
-        refusal = self._refusal(request, now_s, service_time_s, drain_per_s)
+        refusal = self._refusal(
+            request, now_s, service_time_s, release_rate_per_s
+        )
         if refusal is not None:
-            return (Shed(waiting, refusal),)
-        shed: tuple[Shed, ...] = ()
+            return (ShedRequest(waiting, refusal),)
+        shed: tuple[ShedRequest, ...] = ()
         if self._length >= self._limit:
             shed = self._make_room(request.priority)
             if not shed:
-                return (Shed(waiting, _refuse(Reason.QUEUE_FULL)),)
+                return (ShedRequest(waiting, _refuse(Reason.QUEUE_FULL)),)
         self._append(waiting)
         return shed
 
-    def pop(self, now_s: float, *, service_time_s: float) -> Waiting | None:
+    def pop(
+        self, now_s: float, *, service_time_s: float
+    ) -> QueuedRequest | None:
         """Return the next request that can still be answered in time.
 
         Requests whose deadline can't be met any more are skipped; their own
@@ -98,14 +102,14 @@
                 return found
         return None
 
-    def push_back(self, waiting: Waiting) -> None:
+    def push_front(self, waiting: QueuedRequest) -> None:
         """Return a popped request to the head of its queue."""
         queue = self._team_queue(waiting.request)
         queue.waiting.appendleft(waiting)
         queue.start -= 1
         self._length += 1
 
-    def discard(self, waiting: Waiting) -> None:
+    def discard(self, waiting: QueuedRequest) -> None:
         """Take out a request whose caller is gone or whose time is over."""
         queue = self._team_queue(waiting.request)
         if waiting in queue.waiting:
@@ -118,7 +122,7 @@
         request: ServiceRequest,
         now_s: float,
         service_time_s: float,
-        drain_per_s: float,
+        release_rate_per_s: float,
     ) -> NotRun | None:
         ahead = sum(
             len(queue.waiting)
@@ -126,7 +130,7 @@
             if priority >= request.priority
             for queue in teams.values()
         )
-        wait_s = ahead / drain_per_s if drain_per_s > 0 else 0
+        wait_s = ahead / release_rate_per_s if release_rate_per_s > 0 else 0
         if now_s + wait_s + service_time_s > request.deadline_s:
             return _refuse(Reason.DEADLINE, retry_after_s=wait_s)
         held = len(self._team_queue(request).waiting)
@@ -135,7 +139,7 @@
             return _refuse(Reason.TEAM_LIMIT, retry_after_s=wait_s)
         return None
 
-    def _make_room(self, priority: Priority) -> tuple[Shed, ...]:
+    def _make_room(self, priority: Priority) -> tuple[ShedRequest, ...]:
         for lower in sorted(Priority):
             if lower >= priority:
                 return ()
@@ -147,10 +151,10 @@
             if longest is not None and longest.waiting:
                 self._length -= 1
                 dropped = longest.waiting.pop()
-                return (Shed(dropped, _refuse(Reason.QUEUE_FULL)),)
+                return (ShedRequest(dropped, _refuse(Reason.QUEUE_FULL)),)
         return ()
 
-    def _append(self, waiting: Waiting) -> None:
+    def _append(self, waiting: QueuedRequest) -> None:
         queue = self._team_queue(waiting.request)
         if not queue.waiting:
             virtual = self._virtual[waiting.request.priority]
@@ -162,7 +166,7 @@
         self,
         priority: Priority,
         ready_by_s: float,
-    ) -> Waiting | None:
+    ) -> QueuedRequest | None:
         teams = self._queues[priority]
         while True:
             filled = [queue for queue in teams.values() if queue.waiting]
--- a/src/marjoramwharf/service/dispatch.py
+++ b/src/marjoramwharf/service/dispatch.py
@@ -9,10 +9,10 @@
 from opentelemetry.trace import Span
 
 from marjoramwharf.errors import Reason
-from marjoramwharf.service._attempts import Attempts
+from marjoramwharf.service._attempts import AttemptRunner
 from marjoramwharf.service._claimed import ClaimedDispatch
 from marjoramwharf.service._idempotent import IdempotentDispatch
-from marjoramwharf.service.dispatch_parts import DispatchParts
+from marjoramwharf.service.dispatch_dependencies import DispatchDependencies
 from marjoramwharf.service.request import (
     NotRun,
     Outcome,
@@ -25,16 +25,16 @@
 class Dispatcher:
     """Serves requests with the parts that it is given."""
 
-    def __init__(self, parts: DispatchParts) -> None:
+    def __init__(self, parts: DispatchDependencies) -> None:
         """Build the two ways of dispatch on the same parts."""
-        attempts = Attempts(parts)
+        attempts = AttemptRunner(parts)
         self._parts = parts
         self._idempotent = IdempotentDispatch(parts, attempts)
         self._claimed = ClaimedDispatch(parts, attempts)
 
     async def serve(self, request: ServiceRequest) -> Outcome:
         """Return the answer, the proof that nothing ran, or "unknown"."""
-        self._parts.policy.budget.request_arrived(self._parts.clock())
+        self._parts.policy.budget.record_request(self._parts.clock())
         with hop('dispatch') as span:
             span.set_attribute('service', request.service)
             span.set_attribute('request_id', request.request_id)
--- a/src/marjoramwharf/service/dispatch_parts.py
+++ b/src/marjoramwharf/service/dispatch_dependencies.py
@@ -13,21 +13,21 @@
 from marjoramwharf.machines.health import WorkerHealth
 from marjoramwharf.service.request import NotRun, ServiceRequest
 from marjoramwharf.service.retry import RetryPolicy
-from marjoramwharf.service.settlement import AgentOf
+from marjoramwharf.service.settlement import AgentLookup
 
 
 @dataclass(frozen=True, slots=True)
-class DispatchParts:
+class DispatchDependencies:
     """What the dispatcher works with.
 
     ``acquire`` waits for a permit within the request's deadline and avoids
     the given workers; it returns "not run" at once if it knows no others, and
     keeps no permit if it is cancelled. ``acquire_idle`` returns a permit that
-    no other request waits for, or ``None``. ``doubt`` and
-    ``abandon`` take over a permit whose call may still run; ``abandon`` also
-    stops the call. ``agent_of`` raises ``WorkerUnreachable`` for an unknown
+    no other request waits for, or ``None``. ``enqueue_settle`` and
+    ``enqueue_cancel`` take over a permit whose call may still run; ``enqueue_cancel`` also
+    stops the call. ``get_agent`` raises ``WorkerUnreachable`` for an unknown
     worker. ``refused`` takes the permit of a refused call. ``observe`` learns
-    the latency, in ms, of a good answer, and ``observe_at_least`` the time of a
+    the latency, in ms, of a good answer, and ``observe_lower_bound`` the time of a
     call that was stopped. ``clock`` returns monotonic seconds.
     """
 
@@ -42,10 +42,10 @@
     release: Callable[[Permit], None]
     refused: Callable[[Permit, WorkerRefusal], None]
     observe: Callable[[ServiceId, WorkerId, float, float], None]
-    observe_at_least: Callable[[ServiceId, WorkerId, float, float], None]
-    doubt: Callable[[Permit, CallId], None]
-    abandon: Callable[[Permit, CallId], None]
-    agent_of: AgentOf
+    observe_lower_bound: Callable[[ServiceId, WorkerId, float, float], None]
+    enqueue_settle: Callable[[Permit, CallId], None]
+    enqueue_cancel: Callable[[Permit, CallId], None]
+    get_agent: AgentLookup
     claims: Claims
     policy: RetryPolicy
     health: WorkerHealth
--- a/src/marjoramwharf/service/drain.py
+++ b/src/marjoramwharf/service/drain.py
@@ -30,16 +30,16 @@
         """Start serving."""
         self.state = DrainState.SERVING
         self.in_flight_count = 0
-        self.requested = trio.Event()
+        self.shutdown_requested = trio.Event()
         self._empty = trio.Event()
 
     @property
-    def accepts(self) -> bool:
+    def is_accepting(self) -> bool:
         """Whether new requests are served."""
         return self.state is not DrainState.REFUSING
 
     @contextmanager
-    def passing(self) -> Iterator[None]:
+    def track_request(self) -> Iterator[None]:
         """Count a request while the block runs."""
         self.in_flight_count += 1
         try:
@@ -49,9 +49,9 @@
             if not self.in_flight_count:
                 self._empty.set()
 
-    def request(self) -> None:
+    def request_shutdown(self) -> None:
         """Ask for the shutdown; the program's root task carries it out."""
-        self.requested.set()
+        self.shutdown_requested.set()
 
     async def drain(self, *, grace_s: float, timeout_s: float) -> bool:
         """Carry out the steps; return whether nothing was left in flight."""
--- a/src/marjoramwharf/service/http_api.py
+++ b/src/marjoramwharf/service/http_api.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ServiceParts:
+class ServiceDependencies:
     """What the interface is wired to.
 
     ``serve`` runs a request, ``look_up`` finds the outcome of a team's
@@ -49,18 +49,18 @@
     settings: ServiceSettings
 
 
-def service_blueprint(parts: ServiceParts) -> Blueprint:
+def service_blueprint(parts: ServiceDependencies) -> Blueprint:
     """Build the routes for requests and for the lookup of outcomes."""
     blueprint = Blueprint('service', __name__)
 
     @blueprint.post('/v1/services/<service>')
     async def run_service(service: str) -> Response:
-        if not parts.gate.accepts:
+        if not parts.gate.is_accepting:
             return _turn_away(
                 Reason.SHUTTING_DOWN,
                 'this entry is shutting down',
             )
-        with parts.gate.passing():
+        with parts.gate.track_request():
             return await _run(parts, service)
 
     @blueprint.get('/v1/outcomes/<path:key>')
@@ -71,7 +71,7 @@
     return blueprint
 
 
-async def _run(parts: ServiceParts, service: str) -> Response:
+async def _run(parts: ServiceDependencies, service: str) -> Response:
     started_s = parts.clock()
     if service not in parts.services():
         return not_run_response(
@@ -98,7 +98,7 @@
 
 
 def _parse(
-    parts: ServiceParts,
+    parts: ServiceDependencies,
     service: str,
     body: bytes,
     now_s: float,
@@ -187,7 +187,7 @@
 
 
 def _count(
-    parts: ServiceParts,
+    parts: ServiceDependencies,
     service: str,
     outcome: Outcome,
     started_s: float,
--- a/src/marjoramwharf/service/latency.py
+++ b/src/marjoramwharf/service/latency.py
@@ -21,7 +21,7 @@
     updated_at_s: float
 
 
-class LatencyBook:
+class LatencyEstimator:
     """Latency estimates in milliseconds by service and worker.
 
     ``decay_s`` is the time after which an answer's weight has fallen to
@@ -58,7 +58,7 @@
             return
         _blend(known, latency_ms, now_s, self._decay_s)
 
-    def observe_at_least(
+    def observe_lower_bound(
         self,
         service: ServiceId,
         worker_id: WorkerId,
--- a/src/marjoramwharf/service/limits.py
+++ b/src/marjoramwharf/service/limits.py
@@ -55,7 +55,7 @@
     )
 
 
-def request_limits(configuration: Configuration) -> RequestLimits:
+def build_request_limits(configuration: Configuration) -> RequestLimits:
     """Return the limits that a configuration sets."""
     return RequestLimits(
         revision=NoteRevision(configuration.revision),
@@ -69,7 +69,7 @@
     )
 
 
-def team_bounds(
+def get_team_bounds(
     limits: RequestLimits,
     team: TeamId,
     service: ServiceId,
@@ -86,7 +86,7 @@
     return TeamBounds(quota.slots_count, quota.weight)
 
 
-def queue_refusal(limits: RequestLimits, usage: Usage) -> Reason | None:
+def check_queue_limits(limits: RequestLimits, usage: Usage) -> Reason | None:
     """Return why one more request may not wait, or ``None`` if it may."""
     if usage.queued_count >= limits.queue_count:
         return Reason.QUEUE_FULL
@@ -103,7 +103,7 @@
     return limit is None or usage.running_count < limit
 
 
-def fair_shares(
+def compute_fair_shares(
     limits: RequestLimits,
     service: ServiceId,
     demands: Mapping[TeamId, int],
@@ -119,7 +119,7 @@
     weights: dict[TeamId, float] = {}
     ceilings: dict[TeamId, float] = {}
     for team, demand in demands.items():
-        bounds = team_bounds(limits, team, service, now_ms=now_ms)
+        bounds = get_team_bounds(limits, team, service, now_ms=now_ms)
         quota = demand if bounds.slots_count is None else bounds.slots_count
         weights[team] = bounds.weight
         ceilings[team] = min(demand, quota)
--- a/src/marjoramwharf/service/retry.py
+++ b/src/marjoramwharf/service/retry.py
@@ -44,12 +44,12 @@
         self._tokens: float = 1
         self._seen_s = now_s
 
-    def request_arrived(self, now_s: float) -> None:
+    def record_request(self, now_s: float) -> None:
         """Add the share of one request."""
         self._fill(now_s)
         self._tokens = min(self._tokens + self._share, _MAX_TOKENS)
 
-    def take(self, now_s: float) -> bool:
+    def try_spend(self, now_s: float) -> bool:
         """Take a token if there is one."""
         self._fill(now_s)
         if self._tokens < 1:
@@ -64,7 +64,7 @@
             self._tokens = min(self._tokens + idle, _MAX_TOKENS)
 
 
-class LatencyQuantile:
+class HedgeDelayEstimator:
     """When a call of one service has taken suspiciously long.
 
     That is the 95th percentile of the latest latencies, but at most twice
@@ -106,15 +106,15 @@
     def __init__(self, budget: RetryBudget) -> None:
         """Share one budget among all services.
 
-        Hedging can be switched off with ``is_hedging``.
+        Hedging can be switched off with ``is_hedging_enabled``.
         """
         self.budget = budget
-        self.is_hedging = True
-        self._latencies: dict[str, LatencyQuantile] = {}
+        self.is_hedging_enabled = True
+        self._latencies: dict[str, HedgeDelayEstimator] = {}
 
     def observe(self, service: str, latency_s: float) -> None:
         """Learn from a good answer; failures may be fast and say nothing."""
-        quantile = self._latencies.setdefault(service, LatencyQuantile())
+        quantile = self._latencies.setdefault(service, HedgeDelayEstimator())
         quantile.observe(latency_s)
 
     def may_retry(
@@ -126,11 +126,11 @@
         now_s: float,
     ) -> bool:
         """Decide on a retry, and spend a token if work may have run."""
-        if attempts_count >= MAX_ATTEMPTS_COUNT or is_good(outcome):
+        if attempts_count >= MAX_ATTEMPTS_COUNT or is_successful(outcome):
             return False
         if isinstance(outcome, CallRefused):
             return True
-        return is_idempotent and self.budget.take(now_s)
+        return is_idempotent and self.budget.try_spend(now_s)
 
     def hedge_delay_s(
         self,
@@ -140,12 +140,12 @@
     ) -> float | None:
         """Return when to send a second call, ``None`` for never."""
         quantile = self._latencies.get(service)
-        if quantile is None or not (is_idempotent and self.is_hedging):
+        if quantile is None or not (is_idempotent and self.is_hedging_enabled):
             return None
         return quantile.current_s()
 
 
-def is_good(outcome: CallOutcome) -> bool:
+def is_successful(outcome: CallOutcome) -> bool:
     """Tell whether an outcome is an answer without a failure status."""
     return isinstance(outcome, CallAnswer) and outcome.status < _FAILED_STATUS
 
--- a/src/marjoramwharf/service/router.py
+++ b/src/marjoramwharf/service/router.py
@@ -14,13 +14,13 @@
 from marjoramwharf.contracts.permits import Permit
 from marjoramwharf.contracts.release_note import Routing
 from marjoramwharf.ids import ServiceId, WorkerId
-from marjoramwharf.service.latency import LatencyBook
+from marjoramwharf.service.latency import LatencyEstimator
 
 # Two random choices already avoid most of the tail; more samples also avoid
 # workers that are slow through interference.
 SAMPLE_COUNT = 6
 
-RoundTripOf: TypeAlias = Callable[[WorkerId], float]
+RoundTripLookup: TypeAlias = Callable[[WorkerId], float]
 
 
 class PermitSource(Protocol):
@@ -50,8 +50,8 @@
         self,
         *,
         permits: PermitSource,
-        latencies: LatencyBook,
-        round_trip_ms: RoundTripOf,
+        latencies: LatencyEstimator,
+        round_trip_ms: RoundTripLookup,
         rng: random.Random,
     ) -> None:
         """Wire the router; ``round_trip_ms`` is the delay to a worker."""
@@ -89,14 +89,14 @@
             self._note_use(permit, now_s)
         return permit
 
-    def ended(self, permit: Permit) -> None:
+    def record_call_end(self, permit: Permit) -> None:
         """Note that a call of this entry to a worker has ended."""
         started = self._started_at_s.get(permit.worker_id, {})
         started.pop(permit.serial, None)
         if not started:
             self._started_at_s.pop(permit.worker_id, None)
 
-    def cost_ms(
+    def estimate_cost_ms(
         self,
         service: ServiceId,
         worker_id: WorkerId,
@@ -133,10 +133,10 @@
         under_way = len(self._started_at_s.get(worker_id, ()))
         if self.routing is Routing.LEAST_LOADED:
             return (under_way,)
-        cost_ms = self.cost_ms(service, worker_id, now_s)
-        ratio = cost_ms / self._latencies.mean_ms(service)
+        estimate_cost_ms = self.estimate_cost_ms(service, worker_id, now_s)
+        ratio = estimate_cost_ms / self._latencies.mean_ms(service)
         step = max(0, int(math.log2(max(ratio, 1))))
-        return (step, under_way, cost_ms)
+        return (step, under_way, estimate_cost_ms)
 
     def _note_use(self, permit: Permit, now_s: float) -> None:
         started = self._started_at_s.setdefault(permit.worker_id, {})
--- a/src/marjoramwharf/service/settlement.py
+++ b/src/marjoramwharf/service/settlement.py
@@ -22,10 +22,10 @@
 from marjoramwharf.contracts.permits import Permit
 from marjoramwharf.errors import Failure, Reason, WorkerUnreachable
 from marjoramwharf.ids import CallId, TeamId, WorkerId
-from marjoramwharf.machines.calls import CallState, Settled, WorkerAgent
+from marjoramwharf.machines.calls import CallState, SettleReply, WorkerAgent
 from marjoramwharf.service.request import Done, NotRun, Outcome, Unknown
 
-AgentOf: TypeAlias = Callable[[WorkerId], WorkerAgent]
+AgentLookup: TypeAlias = Callable[[WorkerId], WorkerAgent]
 
 _FIRST_PAUSE_S = 0.02
 _MAX_PAUSE_S = 2.0
@@ -43,33 +43,33 @@
 class Settlement:
     """Background task that frees permits in doubt.
 
-    Pass ``doubt`` for calls whose outcome matters and ``abandon`` for calls
+    Pass ``enqueue_settle`` for calls whose outcome matters and ``enqueue_cancel`` for calls
     that the worker is to stop.
     """
 
     def __init__(
         self,
-        agent_of: AgentOf,
+        get_agent: AgentLookup,
         release: Callable[[Permit], None],
         rng: random.Random,
     ) -> None:
-        """Ask workers through ``agent_of`` and free with ``release``.
+        """Ask workers through ``get_agent`` and free with ``release``.
 
-        ``agent_of`` raises ``WorkerUnreachable`` for an unknown worker.
+        ``get_agent`` raises ``WorkerUnreachable`` for an unknown worker.
         """
         self.in_doubt_count = 0
-        self._agent_of = agent_of
+        self._get_agent = get_agent
         self._release = release
         self._rng = rng
         self._scopes: dict[WorkerId, set[trio.CancelScope]] = {}
         self._waiting: deque[_Doubt] = deque()
         self._added = trio.Event()
 
-    def doubt(self, permit: Permit, call_id: CallId) -> None:
+    def enqueue_settle(self, permit: Permit, call_id: CallId) -> None:
         """Free a permit when its call has ended; the call goes on."""
         self._add(_Doubt(permit, call_id, is_abandoned=False))
 
-    def abandon(self, permit: Permit, call_id: CallId) -> None:
+    def enqueue_cancel(self, permit: Permit, call_id: CallId) -> None:
         """Stop a call at the worker, then free its permit."""
         self._add(_Doubt(permit, call_id, is_abandoned=True))
 
@@ -97,8 +97,8 @@
         scope = trio.CancelScope()
         scopes.add(scope)
         with scope:
-            await settle_until(
-                self._agent_of,
+            await poll_until_settled(
+                self._get_agent,
                 doubt.permit.worker_id,
                 doubt.call_id,
                 rng=self._rng,
@@ -116,15 +116,15 @@
     claim: Claim
 
 
-async def settle_until(
-    agent_of: AgentOf,
+async def poll_until_settled(
+    get_agent: AgentLookup,
     worker_id: WorkerId,
     call_id: CallId,
     *,
     rng: random.Random,
     timeout_s: float = math.inf,
     is_cancelling: bool = False,
-) -> Settled | None:
+) -> SettleReply | None:
     """Ask a worker until its call has ended or proved never to run.
 
     A worker that restarted since runs none of the calls sent before: its
@@ -134,12 +134,12 @@
     worker was not reached. The worker is asked at least once, unless the
     time is over before it answers.
     """
-    last: Settled | None = None
+    last: SettleReply | None = None
     pause_s = _FIRST_PAUSE_S
     with trio.move_on_after(max(timeout_s, 0)):
         while True:
             with suppress(WorkerUnreachable):
-                agent = agent_of(worker_id)
+                agent = get_agent(worker_id)
                 last = await (
                     agent.cancel(call_id)
                     if is_cancelling
@@ -157,7 +157,7 @@
     outcome_key: str,
     *,
     claims: Claims,
-    agent_of: AgentOf,
+    get_agent: AgentLookup,
     rng: random.Random,
     timeout_s: float,
 ) -> Done | Unknown | NeverRan:
@@ -165,8 +165,8 @@
     record = claim.record
     if record.status is not None and record.body is not None:
         return Done(record.status, record.content_type, record.body)
-    settled = await settle_until(
-        agent_of,
+    settled = await poll_until_settled(
+        get_agent,
         record.worker_id,
         record.call_id,
         rng=rng,
@@ -199,7 +199,7 @@
     key: str,
     *,
     claims: Claims,
-    agent_of: AgentOf,
+    get_agent: AgentLookup,
     rng: random.Random,
     timeout_s: float,
 ) -> Outcome | None:
@@ -219,7 +219,7 @@
             claim,
             key,
             claims=claims,
-            agent_of=agent_of,
+            get_agent=get_agent,
             rng=rng,
             timeout_s=timeout_s,
         )
@@ -263,7 +263,7 @@
 
 def _never_seen(
     claim: Claim,
-    settled: Settled,
+    settled: SettleReply,
     outcome_key: str,
 ) -> NeverRan | Unknown:
     """Judge a "never": it proves nothing about a former process."""
--- a/standins/_worker_replies.py
+++ b/standins/_worker_replies.py
@@ -9,7 +9,7 @@
 from quart import Response, request
 
 from marjoramwharf.ids import CallId, TaskId
-from marjoramwharf.machines.agent_messages import Refused
+from marjoramwharf.machines.agent_messages import RefusalReply
 from marjoramwharf.machines.calls import (
     CallAnswer,
     Demand,
@@ -36,7 +36,7 @@
 
 def refusal_answer(call_id: CallId, refusal: WorkerRefusal) -> CallAnswer:
     """Return the answer that proves that a call did not run."""
-    body = msgspec.json.encode(Refused(refusal))
+    body = msgspec.json.encode(RefusalReply(refusal))
     return CallAnswer(call_id, 409, 'application/json', body)
 
 
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -31,10 +31,10 @@
 from marjoramwharf.machines.agent_messages import (
     EXPECTED_INCARNATION_HEADER,
     INCARNATION_HEADER,
-    LeaseCall,
-    Refused,
-    StopCall,
-    ThrottleCall,
+    LeaseRequest,
+    RefusalReply,
+    StopRequest,
+    ThrottleRequest,
 )
 from marjoramwharf.machines.calls import (
     CallAnswer,
@@ -191,7 +191,7 @@
     async def lease(self) -> Response:
         """Fence, extend and report."""
         body = await request_body()
-        call = msgspec.json.decode(body, type=LeaseCall)
+        call = msgspec.json.decode(body, type=LeaseRequest)
         running = self.state.lease(
             call.epoch,
             call.revoked,
@@ -291,13 +291,13 @@
         start = msgspec.json.decode(body, type=TaskStart)
         report = self._state.start_task(start, time.monotonic())
         if isinstance(report, WorkerRefusal):
-            return as_json(Refused(report), status=409)
+            return as_json(RefusalReply(report), status=409)
         return as_json(report)
 
     async def stop_task(self, task_id: str) -> Response:
         """Stop an attempt of a task."""
         body = await request_body()
-        call = msgspec.json.decode(body, type=StopCall)
+        call = msgspec.json.decode(body, type=StopRequest)
         report = self._state.tasks.stop(
             TaskId(task_id),
             call.fence,
@@ -309,7 +309,7 @@
     async def throttle_task(self, task_id: str) -> Response:
         """Limit the processors of a task."""
         body = await request_body()
-        call = msgspec.json.decode(body, type=ThrottleCall)
+        call = msgspec.json.decode(body, type=ThrottleRequest)
         report = self._state.tasks.throttle(
             TaskId(task_id),
             call.cpu_share,
--- a/standins/worker_state.py
+++ b/standins/worker_state.py
@@ -19,7 +19,7 @@
     ClassUsage,
     Demand,
     RunningCall,
-    Settled,
+    SettleReply,
     TaskReport,
     TaskStart,
     UsageReport,
@@ -191,13 +191,13 @@
         latency_ms = (now_s - record.start_s) * _MS_PER_S
         self._latencies.append((now_s, record.service, latency_ms))
 
-    def settle(self, call_id: CallId) -> Settled:
+    def settle(self, call_id: CallId) -> SettleReply:
         """Return the state of a call and refuse an unseen one from now on."""
         record = self._calls.get(call_id)
         if record is None:
             self._never.add(call_id)
-            return Settled(CallState.NEVER)
-        return Settled(record.state, self.answers.get(call_id))
+            return SettleReply(CallState.NEVER)
+        return SettleReply(record.state, self.answers.get(call_id))
 
     def lease(
         self,
--- a/tests/batch/fakes.py
+++ b/tests/batch/fakes.py
@@ -223,7 +223,7 @@
     ) -> AsyncIterator[tuple[JobShard, Runner]]:
         """Take the shard as a new owner and serve it in the block."""
         shard = await self.take(policy, **options)
-        runner = Runner(self.capacity, self.agent_of)
+        runner = Runner(self.capacity, self.get_agent)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(runner.own, shard)
             nursery.start_soon(runner.run)
@@ -276,7 +276,7 @@
                 running.update({key, start.task_id})
         assert not running or max(running.values()) == 1, running
 
-    def agent_of(self, worker_id: WorkerId) -> Any:
+    def get_agent(self, worker_id: WorkerId) -> Any:
         """Return a worker; it has only the methods that tasks need."""
         return self.workers.get(worker_id)
 
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -143,7 +143,7 @@
             await trio.sleep(0.3)
             held = next(iter(runner.held_workers()))
             reply = await self.world.workers[held].heartbeat()
-            idle = Runner(self.world.capacity, self.world.agent_of)
+            idle = Runner(self.world.capacity, self.world.get_agent)
             foreign = await idle.on_lease_reply(held, reply)
             self.assertEqual(foreign, reply.tasks)
 
--- a/tests/batch/test_starts.py
+++ b/tests/batch/test_starts.py
@@ -25,7 +25,7 @@
         failing = FailingWorkers()
         starts = Starts(
             world.capacity,
-            world.agent_of,
+            world.get_agent,
             Outcomes({}, world.capacity, failing),
             Pauses(1),
             failing,
--- a/tests/contracts/test_lending.py
+++ b/tests/contracts/test_lending.py
@@ -125,7 +125,7 @@
             CapacitySettings(),
             make_wallet(),
             desk=OwnerDesk(),
-            agent_of=lambda _worker_id: self.agent,  # type: ignore[arg-type, return-value]
+            get_agent=lambda _worker_id: self.agent,  # type: ignore[arg-type, return-value]
             peers=lambda: peers,
             rng=random.Random(1),
         )
--- a/tests/fuzz/test_callers.py
+++ b/tests/fuzz/test_callers.py
@@ -28,7 +28,10 @@
 from marjoramwharf.machines.calls import Call
 from marjoramwharf.metrics import Metrics
 from marjoramwharf.service.drain import DrainGate
-from marjoramwharf.service.http_api import ServiceParts, service_blueprint
+from marjoramwharf.service.http_api import (
+    ServiceDependencies,
+    service_blueprint,
+)
 from marjoramwharf.service.request import Outcome, ServiceRequest, Unknown
 from marjoramwharf.settings import ServiceSettings
 from tests.fuzz.inputs import FUZZ, bytes_like
@@ -78,7 +81,7 @@
         self.app = QuartTrio('test')
         self.app.register_blueprint(
             service_blueprint(
-                ServiceParts(
+                ServiceDependencies(
                     serve=self._serve,
                     look_up=self._look_up,
                     services=lambda: frozenset(('notice',)),
--- a/tests/fuzz/test_peers.py
+++ b/tests/fuzz/test_peers.py
@@ -138,7 +138,7 @@
         CapacitySettings(),
         Wallet(lambda _worker_id: _WORKER.services),
         desk=OwnerDesk(),
-        agent_of=lambda _worker_id: None,  # type: ignore[arg-type, return-value]
+        get_agent=lambda _worker_id: None,  # type: ignore[arg-type, return-value]
         peers=dict,
         rng=random.Random(1),
     )
--- a/tests/fuzz/test_platform.py
+++ b/tests/fuzz/test_platform.py
@@ -24,7 +24,7 @@
 from marjoramwharf.links.etcd import EtcdStore
 from marjoramwharf.links.store import Urgency
 from marjoramwharf.machines.agent_pool import AgentPool
-from marjoramwharf.machines.roster import Roster
+from marjoramwharf.machines.worker_table import WorkerTable
 from tests.fuzz.inputs import FUZZ, bytes_like, texts_like
 
 _PAIR = {'key': 'YQ==', 'value': 'YQ==', 'mod_revision': '3'}
@@ -127,11 +127,13 @@
         for raw in (body, instance):
             with suppress(BadListing):
                 listing = read_listing(raw)
-                roster = Roster()
-                roster.apply(listing)
-                pool = AgentPool(roster, EntryId('e1'), connections_count=2)
+                worker_table = WorkerTable()
+                worker_table.apply(listing)
+                pool = AgentPool(
+                    worker_table, EntryId('e1'), connections_count=2
+                )
                 for worker in listing.instances:
-                    pool.agent_of(worker.worker_id)
+                    pool.get_agent(worker.worker_id)
 
 
 class NoteTests(unittest.TestCase):
--- a/tests/fuzz/test_workers.py
+++ b/tests/fuzz/test_workers.py
@@ -16,7 +16,7 @@
 from marjoramwharf.errors import WorkerUnreachable
 from marjoramwharf.ids import CallId, EntryId, Epoch
 from marjoramwharf.machines.agent import HttpWorkerAgent
-from marjoramwharf.machines.calls import CallAnswer, Settled
+from marjoramwharf.machines.calls import CallAnswer, SettleReply
 from tests.fuzz.inputs import FUZZ, bytes_like
 from tests.machines.test_agent import make_call
 
@@ -98,7 +98,7 @@
             with suppress(WorkerUnreachable):
                 await agent.usage()
             with suppress(WorkerUnreachable):
-                await agent.learn_incarnation()
+                await agent.fetch_incarnation()
 
         trio.run(main)
 
@@ -113,7 +113,7 @@
 
 def _check(outcome: object) -> None:
     """Pass an answer on to a caller."""
-    answer = outcome.answer if isinstance(outcome, Settled) else outcome
+    answer = outcome.answer if isinstance(outcome, SettleReply) else outcome
     if isinstance(answer, CallAnswer):
         response = Response(
             answer.body,
--- a/tests/machines/test_agent.py
+++ b/tests/machines/test_agent.py
@@ -241,7 +241,7 @@
         """Guards against a "never" that another process says."""
 
         async def body(agent: HttpWorkerAgent, server: WorkerServer) -> None:
-            former = await agent.learn_incarnation()
+            former = await agent.fetch_incarnation()
             self.assertEqual(former, server.state.incarnation)
             await agent.run(make_call('a'))
             server.state = WorkerState(server.state.config, 0)
--- a/tests/machines/test_health.py
+++ b/tests/machines/test_health.py
@@ -5,7 +5,7 @@
 import unittest
 
 from marjoramwharf.ids import WorkerId
-from marjoramwharf.machines.health import Verdict, WorkerHealth
+from marjoramwharf.machines.health import HealthSignal, WorkerHealth
 
 _IDS = tuple(WorkerId(f'w{number}') for number in range(10))
 _FIRST = _IDS[0]
@@ -23,14 +23,14 @@
         """Guards against ejection on too little evidence."""
         self._fail(_FIRST, 4)
         self.assertFalse(self._avoided(0))
-        self.assertLess(self.health.good_share(_FIRST, 0), 0.25)
+        self.assertLess(self.health.success_share(_FIRST, 0), 0.25)
 
     def test_failing_worker_is_ejected(self) -> None:
         """Guards against a fast failing worker that attracts load."""
         self._fail(_FIRST, 5)
         self.assertEqual(self._avoided(0), {_FIRST})
-        self.assertFalse(self.health.admit(_FIRST, 0))
-        self.assertEqual(self.health.good_share(_FIRST, 0), 0)
+        self.assertFalse(self.health.try_begin_call(_FIRST, 0))
+        self.assertEqual(self.health.success_share(_FIRST, 0), 0)
 
     def test_at_most_the_share_is_ejected(self) -> None:
         """Guards against an outage of all workers made by ourselves."""
@@ -41,33 +41,33 @@
     def test_one_probe_at_a_time_with_growing_delay(self) -> None:
         """Guards against a burst of requests to a worker that still fails."""
         self._fail(_FIRST, 5)
-        self.assertTrue(self.health.admit(_FIRST, 2))
-        self.assertFalse(self.health.admit(_FIRST, 2))
+        self.assertTrue(self.health.try_begin_call(_FIRST, 2))
+        self.assertFalse(self.health.try_begin_call(_FIRST, 2))
         self.assertEqual(self._avoided(2), {_FIRST})
-        self.health.ended(_FIRST, Verdict.FAILED, 2, start_s=2)
-        self.assertFalse(self.health.admit(_FIRST, 5))
-        self.assertTrue(self.health.admit(_FIRST, 6))
-        self.health.ended(_FIRST, Verdict.GOOD, 6, start_s=6)
+        self.health.record_call_end(_FIRST, HealthSignal.FAILED, 2, start_s=2)
+        self.assertFalse(self.health.try_begin_call(_FIRST, 5))
+        self.assertTrue(self.health.try_begin_call(_FIRST, 6))
+        self.health.record_call_end(_FIRST, HealthSignal.GOOD, 6, start_s=6)
         self.assertFalse(self._avoided(6))
 
     def test_call_from_before_the_ejection_is_no_probe(self) -> None:
         """Guards against a late answer that restores a failing worker."""
         self._fail(_FIRST, 5)
-        self.assertTrue(self.health.admit(_FIRST, 2))
-        self.health.ended(_FIRST, Verdict.GOOD, 3, start_s=1)
+        self.assertTrue(self.health.try_begin_call(_FIRST, 2))
+        self.health.record_call_end(_FIRST, HealthSignal.GOOD, 3, start_s=1)
         self.assertEqual(self._avoided(100), {_FIRST})
 
     def test_probe_without_verdict_is_repeated(self) -> None:
         """Guards against a worker that stays ejected for good."""
         self._fail(_FIRST, 5)
-        self.assertTrue(self.health.admit(_FIRST, 2))
-        self.health.ended(_FIRST, Verdict.NONE, 2, start_s=2)
-        self.assertTrue(self.health.admit(_FIRST, 2))
+        self.assertTrue(self.health.try_begin_call(_FIRST, 2))
+        self.health.record_call_end(_FIRST, HealthSignal.NONE, 2, start_s=2)
+        self.assertTrue(self.health.try_begin_call(_FIRST, 2))
 
     def test_old_failures_are_forgotten(self) -> None:
         """Guards against an ejection for failures of long ago."""
         self._fail(_FIRST, 4)
-        self.health.ended(_FIRST, Verdict.FAILED, 20, start_s=20)
+        self.health.record_call_end(_FIRST, HealthSignal.FAILED, 20, start_s=20)
         self.assertFalse(self._avoided(20))
 
     def test_gone_worker_frees_its_place(self) -> None:
@@ -78,7 +78,9 @@
 
     def _fail(self, worker_id: WorkerId, count: int) -> None:
         for _ in range(count):
-            self.health.ended(worker_id, Verdict.FAILED, 0, start_s=0)
+            self.health.record_call_end(
+                worker_id, HealthSignal.FAILED, 0, start_s=0
+            )
 
     def _avoided(self, now_s: float) -> frozenset[WorkerId]:
-        return self.health.avoided(now_s, with_probes=True)
+        return self.health.list_ejected(now_s, allow_probes=True)
--- a/tests/service/fakes.py
+++ b/tests/service/fakes.py
@@ -29,13 +29,13 @@
     CallOutcome,
     CallRefused,
     CallState,
-    Settled,
+    SettleReply,
     WorkerAgent,
     WorkerRefusal,
 )
 from marjoramwharf.machines.health import WorkerHealth
 from marjoramwharf.service.dispatch import Dispatcher
-from marjoramwharf.service.dispatch_parts import DispatchParts
+from marjoramwharf.service.dispatch_dependencies import DispatchDependencies
 from marjoramwharf.service.request import NotRun, ServiceRequest
 from marjoramwharf.service.retry import RetryBudget, RetryPolicy
 from marjoramwharf.service.settlement import Settlement
@@ -67,14 +67,14 @@
         self.ran: list[Call] = []
         self.cancelled: list[CallId] = []
         self.incarnation = Incarnation('i1')
-        self._states: dict[CallId, Settled] = {}
+        self._states: dict[CallId, SettleReply] = {}
 
     def restart(self) -> None:
         """Forget all calls and change the incarnation."""
         self.incarnation = Incarnation(f'{self.incarnation}+')
         self._states.clear()
 
-    async def learn_incarnation(self) -> Incarnation:
+    async def fetch_incarnation(self) -> Incarnation:
         """Return the incarnation."""
         await trio.lowlevel.checkpoint()
         if self.is_down:
@@ -92,29 +92,29 @@
         if call.call_id in self._states:
             return CallRefused(call.call_id, WorkerRefusal.SETTLED)
         self.ran.append(call)
-        self._states[call.call_id] = Settled(CallState.RUNNING)
+        self._states[call.call_id] = SettleReply(CallState.RUNNING)
         with trio.move_on_after(call.timeout_ms / 1_000):
             await trio.sleep(self.run_s)
             return self.finish(call)
         return CallInDoubt(call.call_id, Reason.DEADLINE)
 
-    async def settle(self, call_id: CallId) -> Settled:
+    async def settle(self, call_id: CallId) -> SettleReply:
         """Return the state and remember an unseen call."""
         await trio.lowlevel.checkpoint()
         if self.is_unreachable:
             raise WorkerUnreachable(message='unreachable')
-        never = Settled(CallState.NEVER)
+        never = SettleReply(CallState.NEVER)
         settled = self._states.setdefault(call_id, never)
         await trio.sleep(
             self.settle_delays_s.pop() if self.settle_delays_s else 0,
         )
         return replace(settled, incarnation=self.incarnation)
 
-    async def cancel(self, call_id: CallId) -> Settled:
+    async def cancel(self, call_id: CallId) -> SettleReply:
         """Stop a running call."""
         settled = await self.settle(call_id)
         if settled.state is CallState.RUNNING:
-            self._states[call_id] = Settled(CallState.CANCELLED)
+            self._states[call_id] = SettleReply(CallState.CANCELLED)
         self.cancelled.append(call_id)
         return self._states[call_id]
 
@@ -128,7 +128,7 @@
             call.content_type,
             b' '.join((b'answer to', call.body)),
         )
-        self._states[call.call_id] = Settled(CallState.FINISHED, answer)
+        self._states[call.call_id] = SettleReply(CallState.FINISHED, answer)
         if self.cut:
             return CallInDoubt(call.call_id, Reason.ANSWER_CUT)
         return answer
@@ -173,7 +173,7 @@
         self.acquired.append(left[0])
         return permit
 
-    def agent_of(self, worker_id: WorkerId) -> WorkerAgent:
+    def get_agent(self, worker_id: WorkerId) -> WorkerAgent:
         """Return a fake; it lacks the calls about tasks."""
         return cast(WorkerAgent, self.agents[worker_id])
 
@@ -197,21 +197,21 @@
         self.health.set_workers(frozenset(fleet.agents))
         self.policy = RetryPolicy(RetryBudget(0.1, trio.current_time()))
         self.settlement = Settlement(
-            fleet.agent_of,
+            fleet.get_agent,
             fleet.lent.remove,
             fleet.rng,
         )
         self.dispatcher = Dispatcher(
-            DispatchParts(
+            DispatchDependencies(
                 fleet.acquire,
                 fleet.acquire_idle,
                 fleet.lent.remove,
                 lambda permit, _refusal: fleet.lent.remove(permit),
                 lambda _service, _worker_id, _latency_ms, _now_s: None,
                 lambda _service, _worker_id, _latency_ms, _now_s: None,
-                self.settlement.doubt,
-                self.settlement.abandon,
-                fleet.agent_of,
+                self.settlement.enqueue_settle,
+                self.settlement.enqueue_cancel,
+                fleet.get_agent,
                 self.claims,
                 self.policy,
                 self.health,
--- a/tests/service/test_admission.py
+++ b/tests/service/test_admission.py
@@ -19,7 +19,7 @@
     WorkerId,
 )
 from marjoramwharf.service.admission import Admission
-from marjoramwharf.service.admission_queue import AdmissionQueue, Waiting
+from marjoramwharf.service.admission_queue import AdmissionQueue, QueuedRequest
 from marjoramwharf.service.request import NotRun, Priority, ServiceRequest
 
 _SERVICE = ServiceId('notice')
@@ -76,13 +76,13 @@
     queue: AdmissionQueue,
     request: ServiceRequest,
     *,
-    drain_per_s: float = 0,
+    release_rate_per_s: float = 0,
 ) -> list[Reason]:
     shed = queue.offer(
-        Waiting(request),
+        QueuedRequest(request),
         now_s=0,
         service_time_s=1,
-        drain_per_s=drain_per_s,
+        release_rate_per_s=release_rate_per_s,
     )
     return [dropped.answer.reason for dropped in shed]
 
@@ -102,7 +102,7 @@
                 nursery.start_soon(self._acquire_expecting_permit, admission)
                 await wait_all_tasks_blocked()
                 pool.free.append(held)
-                admission.released()
+                admission.on_permit_released()
 
         trio.run(scenario, clock=MockClock(autojump_threshold=0))
 
@@ -132,7 +132,7 @@
                 await wait_all_tasks_blocked()
                 nursery.cancel_scope.cancel()
                 pool.free.append(held)
-                admission.released()
+                admission.on_permit_released()
             self.assertEqual(pool.free, [held])
 
         trio.run(scenario, clock=MockClock(autojump_threshold=0))
@@ -162,7 +162,7 @@
         queue = AdmissionQueue(limit=100, team_share=1)
         for _ in range(10):
             _offer(queue, _request())
-        seen = _offer(queue, _request(deadline_s=5), drain_per_s=2)
+        seen = _offer(queue, _request(deadline_s=5), release_rate_per_s=2)
         self.assertEqual(seen, [Reason.DEADLINE])
 
     def test_one_team_can_not_fill_the_queue(self) -> None:
--- a/tests/service/test_dispatch.py
+++ b/tests/service/test_dispatch.py
@@ -87,7 +87,9 @@
             await trio.sleep(120)
             await entry.dispatcher.serve(make_request())
             self.assertFalse(
-                entry.health.avoided(trio.current_time(), with_probes=False),
+                entry.health.list_ejected(
+                    trio.current_time(), allow_probes=False
+                ),
             )
 
         with_entries(self.fleet, body)
@@ -151,7 +153,7 @@
             TEAM,
             key,
             claims=entry.claims,
-            agent_of=self.fleet.agent_of,
+            get_agent=self.fleet.get_agent,
             rng=self.fleet.rng,
             timeout_s=0.5,
         )
--- a/tests/service/test_dispatch_live.py
+++ b/tests/service/test_dispatch_live.py
@@ -16,7 +16,7 @@
 from marjoramwharf.machines.agent import HttpWorkerAgent
 from marjoramwharf.machines.health import WorkerHealth
 from marjoramwharf.service.dispatch import Dispatcher
-from marjoramwharf.service.dispatch_parts import DispatchParts
+from marjoramwharf.service.dispatch_dependencies import DispatchDependencies
 from marjoramwharf.service.request import (
     Done,
     NotRun,
@@ -107,15 +107,15 @@
         nursery.start_soon(claims.run)
         nursery.start_soon(settlement.run)
         return Dispatcher(
-            DispatchParts(
+            DispatchDependencies(
                 self.acquire,
                 self.acquire_idle,
                 self.free.append,
                 lambda permit, _refusal: self.free.append(permit),
                 lambda _service, _worker_id, _latency_ms, _now_s: None,
                 lambda _service, _worker_id, _latency_ms, _now_s: None,
-                settlement.doubt,
-                settlement.abandon,
+                settlement.enqueue_settle,
+                settlement.enqueue_cancel,
                 self.agents.__getitem__,
                 claims,
                 RetryPolicy(RetryBudget(1, time.monotonic())),
--- a/tests/service/test_http_api.py
+++ b/tests/service/test_http_api.py
@@ -14,7 +14,10 @@
 from marjoramwharf.ids import TeamId
 from marjoramwharf.metrics import Metrics
 from marjoramwharf.service.drain import DrainGate, DrainState
-from marjoramwharf.service.http_api import ServiceParts, service_blueprint
+from marjoramwharf.service.http_api import (
+    ServiceDependencies,
+    service_blueprint,
+)
 from marjoramwharf.service.request import (
     Done,
     NotRun,
@@ -39,7 +42,7 @@
         self.app = QuartTrio('test')
         self.app.register_blueprint(
             service_blueprint(
-                ServiceParts(
+                ServiceDependencies(
                     serve=self._serve,
                     look_up=self._look_up,
                     services=lambda: frozenset(('notice',)),
@@ -159,6 +162,6 @@
         trio.run(scenario)
 
     async def _pass_slowly(self, gate: DrainGate) -> None:
-        with gate.passing():
+        with gate.track_request():
             await trio.sleep(0.05)
             self.is_answered = True
--- a/tests/service/test_limits.py
+++ b/tests/service/test_limits.py
@@ -13,15 +13,15 @@
 from marjoramwharf.service.limits import (
     TeamBounds,
     Usage,
-    fair_shares,
+    compute_fair_shares,
     may_start,
-    queue_refusal,
-    request_limits,
-    team_bounds,
+    check_queue_limits,
+    build_request_limits,
+    get_team_bounds,
 )
 
 _SERVICE = ServiceId('s')
-_LIMITS = request_limits(
+_LIMITS = build_request_limits(
     Configuration(
         revision=3,
         limits=Limits(queue_count=4, team_count=3, caller_count=2),
@@ -39,7 +39,7 @@
     def test_quota_ends(self) -> None:
         """Guards against a temporary quota that stays in force."""
         bounds = [
-            team_bounds(_LIMITS, TeamId('a'), _SERVICE, now_ms=now_ms)
+            get_team_bounds(_LIMITS, TeamId('a'), _SERVICE, now_ms=now_ms)
             for now_ms in (999, 1000)
         ]
         self.assertEqual(bounds, [TeamBounds(2, 3), TeamBounds(None, 1)])
@@ -53,7 +53,7 @@
             (Usage(0, 3, 2, 2), Reason.TEAM_LIMIT),
         ):
             with self.subTest(usage=usage):
-                self.assertIs(queue_refusal(_LIMITS, usage), expected)
+                self.assertIs(check_queue_limits(_LIMITS, usage), expected)
 
     def test_quota_bounds_running_requests(self) -> None:
         """Guards against one request too many."""
@@ -63,7 +63,7 @@
 
     def test_unused_share_goes_to_others(self) -> None:
         """Guards against slots that stay idle while a team waits."""
-        shares = fair_shares(
+        shares = compute_fair_shares(
             _LIMITS,
             _SERVICE,
             {TeamId('a'): 9, TeamId('b'): 9, TeamId('c'): 9},
@@ -82,7 +82,7 @@
     )
     def test_shares_fit(self, demands: dict[TeamId, int], slots: int) -> None:
         """Guards against shares above the slots, a demand or a quota."""
-        shares = fair_shares(
+        shares = compute_fair_shares(
             _LIMITS,
             _SERVICE,
             demands,
--- a/tests/service/test_retry.py
+++ b/tests/service/test_retry.py
@@ -69,7 +69,7 @@
         policy = _policy()
         paid_count = 0
         for outcome in outcomes:
-            policy.budget.request_arrived(0)
+            policy.budget.record_request(0)
             if policy.may_retry(
                 outcome,
                 is_idempotent=True,
@@ -92,8 +92,8 @@
     def test_no_budget_without_a_share(self) -> None:
         """Guards against retries that the settings turned off."""
         budget = RetryBudget(0, now_s=0)
-        budget.take(0)
-        self.assertFalse(budget.take(10_000))
+        budget.try_spend(0)
+        self.assertFalse(budget.try_spend(10_000))
 
     def test_hedging_waits_for_samples(self) -> None:
         """Guards against hedged calls before the latency is known."""
--- a/tests/service/test_router.py
+++ b/tests/service/test_router.py
@@ -9,7 +9,7 @@
 from marjoramwharf.contracts.permits import Permit
 from marjoramwharf.contracts.release_note import Routing
 from marjoramwharf.ids import Epoch, GrantId, ServiceId, WorkerId
-from marjoramwharf.service.latency import LatencyBook
+from marjoramwharf.service.latency import LatencyEstimator
 from marjoramwharf.service.router import Router
 
 _SERVICE = ServiceId('notice')
@@ -43,7 +43,7 @@
 
     def setUp(self) -> None:
         """Build a router for two workers that are equally near."""
-        self.latencies = LatencyBook(decay_s=2, prior_ms=10)
+        self.latencies = LatencyEstimator(decay_s=2, prior_ms=10)
         self.router = Router(
             permits=_Permits(),
             latencies=self.latencies,
@@ -62,13 +62,13 @@
         first = self.router.choose(_SERVICE, frozenset((_SECOND,)), 0)
         assert first is not None
         self.assertEqual(self._chosen(0.5), _SECOND)
-        self.router.ended(first)
+        self.router.record_call_end(first)
 
     def test_stopped_call_shows_a_slow_worker(self) -> None:
         """Guards against hedges that hide the slow worker."""
-        self.latencies.observe_at_least(_SERVICE, _FIRST, 900, 0)
+        self.latencies.observe_lower_bound(_SERVICE, _FIRST, 900, 0)
         self.assertEqual(self._chosen(0.1), _SECOND)
-        self.latencies.observe_at_least(_SERVICE, _SECOND, 1, 0)
+        self.latencies.observe_lower_bound(_SERVICE, _SECOND, 1, 0)
         self.assertEqual(self._chosen(0.1), _SECOND)
 
     def test_slow_worker_is_tried_again(self) -> None:
--- a/tests/service/test_settlement.py
+++ b/tests/service/test_settlement.py
@@ -23,7 +23,7 @@
         async def body(entry: Entry, _other: Entry) -> None:
             permit = await fleet.acquire(make_request(), frozenset())
             assert isinstance(permit, Permit)
-            entry.settlement.doubt(permit, CallId('c'))
+            entry.settlement.enqueue_settle(permit, CallId('c'))
             await trio.sleep(600)
             self.assertEqual(fleet.lent, {permit})
             agent.is_unreachable = False
@@ -40,7 +40,7 @@
         async def body(entry: Entry, _other: Entry) -> None:
             permit = await fleet.acquire(make_request(), frozenset())
             assert isinstance(permit, Permit)
-            entry.settlement.doubt(permit, CallId('c'))
+            entry.settlement.enqueue_settle(permit, CallId('c'))
             await trio.sleep(10)
             entry.settlement.forget(WorkerId('w1'))
             await trio.sleep(1)
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -54,7 +54,7 @@
         await self.client.call(ttypes.NoteHint(revision=1), timeout_s=1)
         return await super().acquire(request, avoided)
 
-    def agent_of(self, worker_id: WorkerId) -> WorkerAgent:
+    def get_agent(self, worker_id: WorkerId) -> WorkerAgent:
         return self._agent
 
     async def _answer(self, request: httpx.Request) -> httpx.Response:
--- a/tools/slope_capacity.py
+++ b/tools/slope_capacity.py
@@ -23,7 +23,7 @@
 from marjoramwharf.links.thrift_types.peer import ttypes
 from marjoramwharf.machines.calls import LeaseReply
 from marjoramwharf.machines.worker import Capacity
-from marjoramwharf.service.latency import LatencyBook
+from marjoramwharf.service.latency import LatencyEstimator
 from marjoramwharf.service.router import Router
 from tools.slope_measuring import Case, Figures, resident_bytes, time_us
 from tools.slope_workers import SERVICE, WORKER_CAPACITY, worker
@@ -140,7 +140,7 @@
 def choice(workers_count: int) -> Figures:
     """Measure the choice of a worker and the return of its permit."""
     wallet = _wallet(workers_count)
-    latencies = LatencyBook()
+    latencies = LatencyEstimator()
     for number in range(workers_count):
         worker_id = WorkerId(f'worker-{number:05}')
         latencies.observe(SERVICE, worker_id, 5 + number % 7, 0)
@@ -155,7 +155,7 @@
         permit = router.choose(SERVICE, frozenset(), 1)
         assert permit is not None
         wallet.put_back(permit, 1)
-        router.ended(permit)
+        router.record_call_end(permit)
 
     return {'choice_us': time_us(choose, count=2_000)}
 
--- a/tools/slope_state.py
+++ b/tools/slope_state.py
@@ -30,7 +30,7 @@
 )
 from marjoramwharf.ids import Epoch, JobId, ServiceId, ShardId, TeamId, WorkerId
 from marjoramwharf.links.store import Guard, Urgency, Write
-from marjoramwharf.service.admission_queue import AdmissionQueue, Waiting
+from marjoramwharf.service.admission_queue import AdmissionQueue, QueuedRequest
 from marjoramwharf.service.request import ServiceRequest
 from standins.memory_store import MemoryStore
 from tools import placement_cost
@@ -50,7 +50,7 @@
         _offer(queue, number)
     held_bytes = resident_bytes() - before
     numbers = itertools.count(waiting_count)
-    popped: list[Waiting] = []
+    popped: list[QueuedRequest] = []
 
     def offer_and_pop() -> None:
         _offer(queue, next(numbers))
@@ -78,7 +78,9 @@
         arrived_at_s=0,
         deadline_s=_FAR_S,
     )
-    queue.offer(Waiting(request), now_s=0, service_time_s=0, drain_per_s=0)
+    queue.offer(
+        QueuedRequest(request), now_s=0, service_time_s=0, release_rate_per_s=0
+    )
 
 
 def _services(count: int) -> tuple[Service, ...]:
--- a/tools/slope_workers.py
+++ b/tools/slope_workers.py
@@ -35,7 +35,7 @@
     TaskPhase,
     TaskReport,
 )
-from marjoramwharf.machines.roster import Roster
+from marjoramwharf.machines.worker_table import WorkerTable
 from marjoramwharf.machines.worker import Capacity, Worker
 from tools.slope_measuring import Case, Figures, resident_bytes, time_us
 from tools.slope_server import serve_body
@@ -125,7 +125,7 @@
     listing = Listing(1, tuple(map(worker, range(workers_count))))
     body = msgspec.json.encode(listing)
     before = resident_bytes()
-    taken_in = Roster()
+    taken_in = WorkerTable()
     taken_in.apply(read_listing(body))
     held_bytes = resident_bytes() - before
     again = itertools.count(2)
