--- a/src/marjoramwharf/machines/__init__.py
+++ b/src/marjoramwharf/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Workers: their values, health, usage and HTTP contract."""
+"""Workers: their state, their health and the client of their agents."""
--- a/src/marjoramwharf/machines/agent.py
+++ b/src/marjoramwharf/machines/agent.py
@@ -1,8 +1,8 @@
 """HTTP client of one worker's agent.
 
 Messages are the dataclasses of :mod:`machines.calls` as JSON, with bytes in
-base64. The answer of a run is the service's own body; it counts as whole only
-if the call id, the length and the digest in its headers match.
+base64. The answer of a run is the service's own body; it is accepted only if
+the call id, the length and the digest in its headers match.
 """
 
 from __future__ import annotations
@@ -54,11 +54,11 @@
 from marjoramwharf.tracing import hop, trace_headers
 
 _REFUSED_STATUS = 409
-_STATUSES = range(200, 600)
+_VALID_STATUSES = range(200, 600)
 _DEFAULT_CONTENT_TYPE = 'application/octet-stream'
 _MAX_ANSWER_BYTES = 16_777_216
 _LENGTH_DIGITS = len(str(_MAX_ANSWER_BYTES))
-# A settlement has the answer in base64, which adds a third.
+# A settle reply contains the answer in base64, which adds a third.
 _MAX_REPLY_BYTES = 24_000_000
 _MS_PER_S = 1_000
 
@@ -66,11 +66,11 @@
 
 
 @functools.cache
-def _tls_context() -> ssl.SSLContext:
-    """Return the context that all agents share.
+def _get_tls_context() -> ssl.SSLContext:
+    """Return the TLS context that all agents share.
 
-    Loading the certificates takes about 60 ms, for each worker anew if every
-    client made a context of its own.
+    Loading the certificates takes about 60 ms; with one context per client it
+    would be repeated for each worker.
     """
     return ssl.create_default_context()
 
@@ -79,8 +79,8 @@
     """Implements ``WorkerAgent`` for one worker over HTTP.
 
     At most ``connections_count`` connections are open. Runs use all but one
-    of them, so that a cancellation or heartbeat never waits behind runs. The
-    other calls are made one after another.
+    of them, so that a cancellation or heartbeat never waits for a run. All
+    requests other than runs are sent one after another.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         control_timeout_s: float = 2,
         transport: httpx.AsyncBaseTransport | None = None,
     ) -> None:
-        """Prepare the client; connections are opened when they are needed.
+        """Create the client; connections are opened when they are needed.
 
         ``url`` is the base URL of the worker's agent.
         """
@@ -100,7 +100,7 @@
         self._control_timeout_s = control_timeout_s
         self._run_limit = trio.CapacityLimiter(max(connections_count - 1, 1))
         self._control_limit = trio.CapacityLimiter(1)
-        self._cuts = AbortedConnections()
+        self._aborted_connections = AbortedConnections()
         self._incarnation: Incarnation | None = None
         self._client = httpx.AsyncClient(
             base_url=url,
@@ -110,24 +110,26 @@
                 max_keepalive_connections=connections_count,
                 keepalive_expiry=None,
             ),
-            event_hooks={'response': [self._note_incarnation]},
+            event_hooks={'response': [self._store_incarnation]},
             timeout=None,
             transport=transport,
             trust_env=False,
-            verify=_tls_context(),
+            verify=_get_tls_context(),
         )
 
     @property
     def incarnation(self) -> Incarnation | None:
-        """The worker's incarnation in its last answer, if there was one."""
+        """The incarnation that the worker's last reply stated, if any did."""
         return self._incarnation
 
     async def fetch_incarnation(self) -> Incarnation:
-        """Return the incarnation; asks the worker if it is not known yet."""
+        """Return the incarnation; query the worker if it is not known yet."""
         if self._incarnation is None:
-            await self._ask('GET', '/usage', None)
+            await self._send_control('GET', '/usage', None)
         if self._incarnation is None:
-            raise WorkerUnreachable(message='a reply without incarnation')
+            raise WorkerUnreachable(
+                message='the reply states no worker incarnation'
+            )
         return self._incarnation
 
     async def aclose(self) -> None:
@@ -135,10 +137,11 @@
         await self._client.aclose()
 
     async def run(self, call: Call) -> CallOutcome:
-        """Run a call and return its whole answer.
+        """Run a call and return its outcome.
 
-        A cancelled run leaves the call in doubt; the caller settles it. A
-        call that found no free connection in time is refused as ``FULL``.
+        If this task is cancelled, the call is in doubt and the caller must
+        settle it. A call that gets no free connection before its timeout is
+        refused as ``FULL``.
         """
         sent = False
         with hop('worker.run', kind=trace.SpanKind.CLIENT) as span:
@@ -146,7 +149,9 @@
             span.set_attribute('request_id', call.request_id or '')
             with trio.move_on_after(call.timeout_ms / _MS_PER_S):
                 async with self._run_limit:
-                    await self._cuts.wait_for_capacity(self._run_limit)
+                    await self._aborted_connections.wait_for_capacity(
+                        self._run_limit
+                    )
                     sent = True
                     return await self._send(call)
         if sent:
@@ -154,12 +159,12 @@
         return CallRefused(call.call_id, WorkerRefusal.FULL)
 
     async def settle(self, call_id: CallId) -> SettleReply:
-        """Find out what became of a call, and refuse it if never seen."""
-        return await self._end_of(call_id, 'settle')
+        """Return the state of a call; an unseen call is refused from now on."""
+        return await self._request_settlement(call_id, 'settle')
 
     async def cancel(self, call_id: CallId) -> SettleReply:
-        """Stop a call; it is refused from then on if it was never seen."""
-        return await self._end_of(call_id, 'cancel')
+        """Stop a call; an unseen call is refused if it arrives later."""
+        return await self._request_settlement(call_id, 'cancel')
 
     async def lease(
         self,
@@ -170,17 +175,21 @@
     ) -> LeaseReply:
         """Fence lower epochs and revoked grants and extend the lease.
 
-        The reply's epoch is the highest that the worker has acknowledged; a
-        higher one than ``epoch`` means that nothing was extended.
+        The epoch in the reply is the highest that the worker has acknowledged;
+        if it is higher than ``epoch``, the lease was not extended.
         """
         body = LeaseRequest(epoch, self._entry_id, revoked, lease_ms)
-        return _decoded(await self._ask('PUT', '/lease', body), LeaseReply)
+        return _decode_reply(
+            await self._send_control('PUT', '/lease', body), LeaseReply
+        )
 
     async def start_task(self, start: TaskStart) -> TaskReport | WorkerRefusal:
-        """Start an attempt, or return the state of the same attempt."""
-        reply = await self._ask('PUT', f'/tasks/{start.task_id}', start)
-        refusal = _refusal(reply.status_code, reply.content)
-        return refusal or _decoded(reply, TaskReport)
+        """Start an attempt, or return its state if it was started before."""
+        reply = await self._send_control(
+            'PUT', f'/tasks/{start.task_id}', start
+        )
+        refusal = _parse_refusal(reply.status_code, reply.content)
+        return refusal or _decode_reply(reply, TaskReport)
 
     async def stop_task(
         self,
@@ -191,8 +200,8 @@
     ) -> TaskReport:
         """Stop an attempt; phase ``UNKNOWN`` proves that it never ran."""
         body = StopRequest(fence, with_checkpoint)
-        reply = await self._ask('POST', f'/tasks/{task_id}/stop', body)
-        return _decoded(reply, TaskReport)
+        reply = await self._send_control('POST', f'/tasks/{task_id}/stop', body)
+        return _decode_reply(reply, TaskReport)
 
     async def throttle_task(
         self,
@@ -200,31 +209,35 @@
         *,
         cpu_share: float,
     ) -> TaskReport:
-        """Limit a task to a share, 0 to 1, of the processors it asked for."""
+        """Limit a task to a share, 0 to 1, of the processors it requested."""
         body = ThrottleRequest(cpu_share)
-        reply = await self._ask('POST', f'/tasks/{task_id}/throttle', body)
-        return _decoded(reply, TaskReport)
+        reply = await self._send_control(
+            'POST', f'/tasks/{task_id}/throttle', body
+        )
+        return _decode_reply(reply, TaskReport)
 
     async def usage(self) -> UsageReport:
-        """Return the worker's latest, lagging usage report."""
-        return _decoded(await self._ask('GET', '/usage', None), UsageReport)
+        """Return the worker's latest usage report, which lags."""
+        return _decode_reply(
+            await self._send_control('GET', '/usage', None), UsageReport
+        )
 
     async def _send(self, call: Call) -> CallOutcome:
-        with self._cuts.track_exchange() as whole:
+        with self._aborted_connections.track_exchange() as completed:
             outcome = await self._exchange_run(call)
             if not isinstance(outcome, CallInDoubt):
-                whole.set()
+                completed.set()
         return outcome
 
-    async def _note_incarnation(self, response: httpx.Response) -> None:
-        self._incarnation = _incarnation_of(response) or self._incarnation
+    async def _store_incarnation(self, response: httpx.Response) -> None:
+        self._incarnation = _read_incarnation(response) or self._incarnation
 
     async def _exchange_run(self, call: Call) -> CallOutcome:
         request = self._client.build_request(
             'POST',
             f'/run/{call.service}',
             content=call.body,
-            headers=_run_headers(call),
+            headers=_build_run_headers(call),
         )
         try:
             response = await self._client.send(request, stream=True)
@@ -240,20 +253,26 @@
             with trio.CancelScope(shield=True):
                 await response.aclose()
 
-    async def _end_of(self, call_id: CallId, action: str) -> SettleReply:
-        reply = await self._ask('POST', f'/calls/{call_id}/{action}', None)
-        settled = _decoded(reply, SettleReply)
+    async def _request_settlement(
+        self, call_id: CallId, action: str
+    ) -> SettleReply:
+        reply = await self._send_control(
+            'POST', f'/calls/{call_id}/{action}', None
+        )
+        settled = _decode_reply(reply, SettleReply)
         if settled.answer is not None:
             if settled.answer.call_id != call_id:
                 message = f'{action}: answer to another call'
                 raise WorkerUnreachable(message=message)
-            passable = _passable(settled.answer)
-            if not isinstance(passable, CallAnswer):
-                raise WorkerUnreachable(message=f'{action}: bad status')
-            settled = replace(settled, answer=passable)
-        return replace(settled, incarnation=_incarnation_of(reply))
+            answer = _sanitize_answer(settled.answer)
+            if not isinstance(answer, CallAnswer):
+                raise WorkerUnreachable(
+                    message=f'{action}: answer with an invalid status'
+                )
+            settled = replace(settled, answer=answer)
+        return replace(settled, incarnation=_read_incarnation(reply))
 
-    async def _ask(
+    async def _send_control(
         self, method: str, path: str, body: object
     ) -> httpx.Response:
         with hop('worker.control', kind=trace.SpanKind.CLIENT) as span:
@@ -270,9 +289,9 @@
         body: object,
     ) -> httpx.Response:
         headers = {'Content-Type': 'application/json', **trace_headers()}
-        with self._cuts.track_exchange() as whole:
+        with self._aborted_connections.track_exchange() as completed:
             try:
-                reply = await self._whole_reply(
+                reply = await self._read_reply(
                     self._client.build_request(
                         method,
                         path,
@@ -284,10 +303,10 @@
                 raise WorkerUnreachable(
                     message=f'{path}: {failure!r}',
                 ) from failure
-            whole.set()
+            completed.set()
         return reply
 
-    async def _whole_reply(self, request: httpx.Request) -> httpx.Response:
+    async def _read_reply(self, request: httpx.Request) -> httpx.Response:
         response = await self._client.send(request, stream=True)
         try:
             content = await _read_limited(response, _MAX_REPLY_BYTES)
@@ -295,18 +314,20 @@
             with trio.CancelScope(shield=True):
                 await response.aclose()
         if len(content) > _MAX_REPLY_BYTES:
-            raise WorkerUnreachable(message='the reply is too large')
+            raise WorkerUnreachable(
+                message='the reply exceeds the size limit of 24 MB'
+            )
         return httpx.Response(
             response.status_code,
             headers={
-                INCARNATION_HEADER: _incarnation_of(response) or '',
+                INCARNATION_HEADER: _read_incarnation(response) or '',
             },
             content=content,
             request=request,
         )
 
 
-def _run_headers(call: Call) -> dict[str, str]:
+def _build_run_headers(call: Call) -> dict[str, str]:
     headers = {
         'Content-Type': call.content_type,
         'X-Call-Id': call.call_id,
@@ -335,16 +356,16 @@
         return CallInDoubt(call_id, Reason.ANSWER_CUT)
     if len(length) > _LENGTH_DIGITS or int(length) > _MAX_ANSWER_BYTES:
         return CallInDoubt(call_id, Reason.BODY_TOO_LARGE)
-    # Raw, since a small compressed body could exceed the limit.
+    # Read raw: a small compressed body could exceed the limit when decoded.
     body = await _read_limited(response, int(length))
     digest = hashlib.sha256(body).hexdigest()
     expected = (int(length), response.headers.get('X-Body-Sha256'))
     if (len(body), digest) != expected:
         return CallInDoubt(call_id, Reason.ANSWER_CUT)
-    refusal = _refusal(response.status_code, body)
+    refusal = _parse_refusal(response.status_code, body)
     if refusal is not None:
         return CallRefused(call_id, refusal)
-    return _passable(
+    return _sanitize_answer(
         CallAnswer(
             call_id,
             response.status_code,
@@ -355,33 +376,37 @@
 
 
 async def _read_limited(response: httpx.Response, limit_bytes: int) -> bytes:
-    """Read a body; a longer one is read a little further than its limit."""
+    """Read a body; stop at the first chunk that exceeds the limit."""
     body = bytearray()
-    async for piece in response.aiter_raw():
-        body.extend(piece)
+    async for chunk in response.aiter_raw():
+        body.extend(chunk)
         if len(body) > limit_bytes:
             break
     return bytes(body)
 
 
-def _passable(answer: CallAnswer) -> CallOutcome:
-    """Return an answer that can be sent on to a caller as it is."""
-    if answer.status not in _STATUSES:
+def _sanitize_answer(answer: CallAnswer) -> CallOutcome:
+    """Return an answer that can be forwarded to a caller.
+
+    An invalid status makes the outcome in doubt; an invalid content type is
+    replaced by the default.
+    """
+    if answer.status not in _VALID_STATUSES:
         return CallInDoubt(answer.call_id, Reason.ANSWER_CUT)
     if answer.content_type and is_header_safe(answer.content_type):
         return answer
     return replace(answer, content_type=_DEFAULT_CONTENT_TYPE)
 
 
-def _incarnation_of(response: httpx.Response) -> Incarnation | None:
-    stated = response.headers.get(INCARNATION_HEADER, '')
-    if not stated or not is_header_safe(stated):
+def _read_incarnation(response: httpx.Response) -> Incarnation | None:
+    incarnation = response.headers.get(INCARNATION_HEADER, '')
+    if not incarnation or not is_header_safe(incarnation):
         return None
-    return Incarnation(stated)
+    return Incarnation(incarnation)
 
 
-def _refusal(status: int, body: bytes) -> WorkerRefusal | None:
-    """Return the refusal; a service's own 409 has another body."""
+def _parse_refusal(status: int, body: bytes) -> WorkerRefusal | None:
+    """Parse a refusal; return ``None`` for a 409 of the service itself."""
     if status != _REFUSED_STATUS:
         return None
     try:
@@ -390,8 +415,10 @@
         return None
 
 
-def _decoded(reply: httpx.Response, model: type[_Reply]) -> _Reply:
+def _decode_reply(reply: httpx.Response, model: type[_Reply]) -> _Reply:
     try:
         return decode_json(reply.raise_for_status().content, model)
     except (httpx.HTTPError, msgspec.MsgspecError) as failure:
-        raise WorkerUnreachable(message=f'bad reply: {failure}') from failure
+        raise WorkerUnreachable(
+            message=f'invalid reply of the worker: {failure}'
+        ) from failure
--- a/src/marjoramwharf/machines/agent_messages.py
+++ b/src/marjoramwharf/machines/agent_messages.py
@@ -1,4 +1,4 @@
-"""Bodies and headers of the worker agent's contract, beside those of calls."""
+"""Bodies and headers of the worker agent's HTTP API, except those of calls."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class RefusalReply(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Body of a refusal; it proves that nothing was run or started."""
+    """Body of a refusal; the call did not run or the task did not start."""
 
     refused: WorkerRefusal
 
 
 class LeaseRequest(msgspec.Struct, frozen=True):
-    """Body of a heartbeat that fences and extends a worker's lease."""
+    """Body of a heartbeat that fences old epochs and extends the lease."""
 
     epoch: Epoch
     owner: EntryId
@@ -34,6 +34,6 @@
 
 
 class ThrottleRequest(msgspec.Struct, frozen=True):
-    """Body of a request to limit a task's processors; 0 to 1."""
+    """Body of a request to limit a task to a share, 0 to 1, of its CPUs."""
 
     cpu_share: float
--- a/src/marjoramwharf/machines/agent_pool.py
+++ b/src/marjoramwharf/machines/agent_pool.py
@@ -1,4 +1,4 @@
-"""The agents of all known workers, each with its few connections."""
+"""A pool of the agents of all known workers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class AgentPool:
-    """Agents by worker, made when they are first needed."""
+    """Agents by worker, created at their first use."""
 
     def __init__(
         self,
@@ -20,7 +20,7 @@
         *,
         connections_count: int,
     ) -> None:
-        """Bound each worker to ``connections_count`` connections."""
+        """Open at most ``connections_count`` connections to each worker."""
         self._worker_table = worker_table
         self._entry_id = entry_id
         self._connections_count = connections_count
@@ -29,14 +29,14 @@
     def get_agent(self, worker_id: WorkerId) -> HttpWorkerAgent:
         """Return the agent of a worker.
 
-        Raises ``WorkerUnreachable`` for a worker that the list never had.
+        Raises ``WorkerUnreachable`` if it is neither listed nor has an agent.
         """
         worker = self._worker_table.find(worker_id)
-        known = self._agents.get(worker_id)
-        if known is not None and (worker is None or worker.url == known[0]):
-            return known[1]
+        cached = self._agents.get(worker_id)
+        if cached is not None and (worker is None or worker.url == cached[0]):
+            return cached[1]
         if worker is None:
-            raise WorkerUnreachable(message=f'{worker_id} is not listed')
+            raise WorkerUnreachable(message=f'worker {worker_id} is not listed')
         agent = HttpWorkerAgent(
             worker.url,
             self._entry_id,
@@ -47,9 +47,9 @@
 
     async def close(self, worker_id: WorkerId) -> None:
         """Close the connections to a worker; a later call opens new ones."""
-        known = self._agents.pop(worker_id, None)
-        if known is not None:
-            await known[1].aclose()
+        cached = self._agents.pop(worker_id, None)
+        if cached is not None:
+            await cached[1].aclose()
 
     async def aclose(self) -> None:
         """Close all connections."""
--- a/src/marjoramwharf/machines/calls.py
+++ b/src/marjoramwharf/machines/calls.py
@@ -1,8 +1,8 @@
-"""Messages of the worker agent's contract.
+"""Messages and interface of a worker's agent.
 
-A call to a worker ends in one of three ways: an answer, a refusal, which
-proves that the work did not run, or doubt, which the caller settles by asking
-the worker again.
+A call to a worker has one of three outcomes: an answer; a refusal, which
+proves that the call did not run; or doubt, which the caller settles by
+querying the worker again.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 class WorkerRefusal(enum.Enum):
     """Why a worker did not run a call or start a task.
 
-    ``NOT_CONNECTED`` is never sent by a worker: the agent's client returns it
-    when no connection was made, so that the call was not sent at all.
+    ``NOT_CONNECTED`` is never sent by a worker: the client returns it if it
+    could not connect, so that the call was not sent at all.
     """
 
     STALE_EPOCH = 'stale_epoch'
@@ -45,9 +45,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request to one worker, made under a permit.
+    """One request to one worker under a permit.
 
-    A worker with another incarnation than the given one refuses the call.
+    A worker whose incarnation differs from ``incarnation`` refuses the call.
     """
 
     call_id: CallId
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallAnswer:
-    """The whole answer of a worker; its length and digest were checked."""
+    """The complete answer of a worker, with verified length and digest."""
 
     call_id: CallId
     status: int
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRefused:
-    """The worker proved that the call did not run."""
+    """The call was refused and provably did not run."""
 
     call_id: CallId
     refusal: WorkerRefusal
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallInDoubt:
-    """It is not known whether the call ran or still runs."""
+    """The call may have run and may still be running."""
 
     call_id: CallId
     reason: Reason
@@ -92,11 +92,11 @@
 
 @enum.unique
 class CallState(enum.Enum):
-    """State of a call that was settled or cancelled.
+    """State of a call in the reply to a settle or cancel request.
 
-    ``NEVER`` proves that the call did not run and never will: the worker
-    refuses its id from then on. It proves this only for the incarnation that
-    the call was sent to, since a restarted worker knows no earlier calls.
+    ``NEVER`` proves that the call did not run and never will, because the
+    worker refuses its id from then on. This holds only for the incarnation
+    that the call was sent to: a restarted worker knows no earlier calls.
     """
 
     FINISHED = 'finished'
@@ -107,9 +107,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SettleReply:
-    """Reply to a settlement; ``answer`` is set when the call finished.
+    """Reply to a settle or cancel request.
 
-    ``incarnation`` is that of the process which replied.
+    ``answer`` may be set if the call finished. ``incarnation`` is that of the
+    worker process that replied.
     """
 
     state: CallState
@@ -139,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Processors, memory and accelerators that a task asks for."""
+    """Processors, memory and accelerators that a task requests."""
 
     cpu_millicores: int
     memory_mb: int
@@ -148,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskStart:
-    """The start of one attempt of a batch task.
+    """Request to start one attempt of a batch task.
 
     ``fence`` is the pair of job shard epoch and attempt; the worker refuses a
     lower pair for the same task or exclusive key. ``run_ms`` is the amount of
@@ -167,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskReport:
-    """What a worker says of one attempt; ``checkpoint`` is in ms of work."""
+    """A worker's report on one attempt; ``checkpoint`` is in ms of work."""
 
     task_id: TaskId
     fence: tuple[int, int]
@@ -178,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReply:
-    """Reply to a heartbeat that fences and extends a worker's lease."""
+    """Reply to a heartbeat that fences old epochs and extends the lease."""
 
     epoch: Epoch
     leaving: bool
@@ -199,34 +200,34 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageReport:
-    """A lagging report of a worker's usage; ``age_ms`` is its lag."""
+    """A delayed report of a worker's usage; ``age_ms`` is its age."""
 
     age_ms: int
     classes: tuple[ClassUsage, ...]
 
 
 class WorkerAgent(Protocol):
-    """The HTTP contract of one worker.
+    """Interface to the agent of one worker.
 
-    ``run`` never raises for a failure of the link: it returns ``CallInDoubt``.
+    ``run`` does not raise if the connection fails: it returns ``CallInDoubt``.
     The other methods raise ``WorkerUnreachable``.
     """
 
     @property
     def incarnation(self) -> Incarnation | None:
-        """The worker's incarnation in its last answer, if there was one."""
+        """The incarnation that the worker's last reply stated, if any did."""
 
     async def fetch_incarnation(self) -> Incarnation:
-        """Return the incarnation; asks the worker if it is not known yet."""
+        """Return the incarnation; query the worker if it is not known yet."""
 
     async def run(self, call: Call) -> CallOutcome:
-        """Run a call and return its whole answer."""
+        """Run a call and return its outcome."""
 
     async def settle(self, call_id: CallId) -> SettleReply:
-        """Find out what became of a call, and refuse it if never seen."""
+        """Return the state of a call; an unseen call is refused from now on."""
 
     async def cancel(self, call_id: CallId) -> SettleReply:
-        """Stop a call; it is refused from then on if it was never seen."""
+        """Stop a call; an unseen call is refused if it arrives later."""
 
     async def lease(
         self,
@@ -238,7 +239,7 @@
         """Fence lower epochs and revoked grants and extend the lease."""
 
     async def start_task(self, start: TaskStart) -> TaskReport | WorkerRefusal:
-        """Start an attempt, or return the state of the same attempt."""
+        """Start an attempt, or return its state if it was started before."""
 
     async def stop_task(
         self,
@@ -255,7 +256,7 @@
         *,
         cpu_share: float,
     ) -> TaskReport:
-        """Limit a task to a share, 0 to 1, of the processors it asked for."""
+        """Limit a task to a share, 0 to 1, of the processors it requested."""
 
     async def usage(self) -> UsageReport:
-        """Return the worker's latest, lagging usage report."""
+        """Return the worker's latest usage report, which lags."""
--- a/src/marjoramwharf/machines/worker.py
+++ b/src/marjoramwharf/machines/worker.py
@@ -1,4 +1,4 @@
-"""Values that describe a worker: its place, its capacity and its state."""
+"""Location, capacity and state of a worker."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """What a worker holds."""
+    """Slots, connections and resources of a worker."""
 
     slots_count: int
     connections_count: int
--- a/src/marjoramwharf/machines/worker_table.py
+++ b/src/marjoramwharf/machines/worker_table.py
@@ -1,15 +1,14 @@
 """The known workers: the platform's list, corrected by heartbeats.
 
-A worker that leaves says so in each heartbeat reply, before the lagging list
-does. Leaving is final for an incarnation of a worker. The list has no
-incarnations, so a new one is taken to begin when the worker is listed with
-another URL, or disappears from the list and is listed again later. Lists with
-a lower revision than the latest one are ignored; a list from before the worker
-was removed can therefore not bring it back.
+A leaving worker reports this in each heartbeat reply, earlier than the list,
+which lags. Leaving is final for an incarnation of a worker. The list has no
+incarnations, so a new one is assumed when a worker is listed with another URL,
+or is listed again after it was missing. Lists with a lower revision than the
+latest one are ignored, so that an outdated list can't restore a removed worker.
 
 Example:
-    change = roster.apply(listing)
-    for worker_id in change.gone:
+    change = worker_table.apply(listing)
+    for worker_id in change.removed:
         forget(worker_id)
 """
 
@@ -25,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerTableChange:
-    """What a list changed: new, altered and removed workers."""
+    """Workers that a list added, updated and removed."""
 
     added: tuple[Worker, ...] = ()
     updated: tuple[Worker, ...] = ()
@@ -33,14 +32,14 @@
 
 
 class WorkerTable:
-    """The workers of the latest list, with what heartbeats said since."""
+    """The workers of the latest list, with leaving states from heartbeats."""
 
     def __init__(self) -> None:
         """Start without a list."""
         self._revision = -1
-        self._latest: Listing | None = None
-        self._known: dict[WorkerId, Worker] = {}
-        # Workers reported as leaving, also before the list has them.
+        self._latest_listing: Listing | None = None
+        self._workers: dict[WorkerId, Worker] = {}
+        # Workers reported as leaving, possibly before the list has them.
         self._leaving: set[WorkerId] = set()
 
     @property
@@ -49,74 +48,74 @@
         return self._revision
 
     def apply(self, listing: Listing) -> WorkerTableChange:
-        """Take over a list, unless it is older than the latest."""
-        if listing is self._latest or listing.revision < self._revision:
+        """Replace the workers by a list, unless it is older than the latest."""
+        if listing is self._latest_listing or listing.revision < self._revision:
             return WorkerTableChange()
-        self._latest = listing
+        self._latest_listing = listing
         self._revision = listing.revision
-        former = self._known
+        previous = self._workers
         self._leaving.difference_update(
             worker.worker_id
             for worker in listing.instances
-            if _has_moved(former.get(worker.worker_id), worker)
+            if _has_new_url(previous.get(worker.worker_id), worker)
         )
         self._leaving.update(_leaving_ids(listing.instances))
-        self._known = {
-            worker.worker_id: self._corrected(worker)
+        self._workers = {
+            worker.worker_id: self._apply_leaving(worker)
             for worker in listing.instances
         }
-        gone = tuple(former.keys() - self._known.keys())
-        self._leaving.difference_update(gone)
+        removed_ids = tuple(previous.keys() - self._workers.keys())
+        self._leaving.difference_update(removed_ids)
         return WorkerTableChange(
             added=tuple(
                 worker
-                for worker_id, worker in self._known.items()
-                if worker_id not in former
+                for worker_id, worker in self._workers.items()
+                if worker_id not in previous
             ),
             updated=tuple(
                 worker
-                for worker_id, worker in self._known.items()
-                if former.get(worker_id, worker) != worker
+                for worker_id, worker in self._workers.items()
+                if previous.get(worker_id, worker) != worker
             ),
-            removed=tuple(sorted(gone)),
+            removed=tuple(sorted(removed_ids)),
         )
 
     def mark_leaving(self, worker_id: WorkerId) -> bool:
-        """Note a leaving state from a heartbeat, a refusal or a peer.
+        """Mark a worker as leaving after a heartbeat, a refusal or a report.
 
-        Returns whether it is new.
+        Returns whether this was not known before.
         """
         is_new = worker_id not in self._leaving
         self._leaving.add(worker_id)
-        worker = self._known.get(worker_id)
+        worker = self._workers.get(worker_id)
         if worker is not None:
-            self._known[worker_id] = self._corrected(worker)
+            self._workers[worker_id] = self._apply_leaving(worker)
         return is_new
 
     def find(self, worker_id: WorkerId) -> Worker | None:
-        """Return a worker of the latest list."""
-        return self._known.get(worker_id)
+        """Return a worker of the latest list, or ``None`` if not listed."""
+        return self._workers.get(worker_id)
 
     def known(self) -> tuple[Worker, ...]:
         """Return all workers of the latest list."""
-        return tuple(self._known.values())
+        return tuple(self._workers.values())
 
     def live(self) -> tuple[Worker, ...]:
         """Return the workers that may receive new work."""
         return tuple(
             worker
-            for worker in self._known.values()
+            for worker in self._workers.values()
             if worker.state is WorkerState.LIVE
         )
 
-    def _corrected(self, worker: Worker) -> Worker:
+    def _apply_leaving(self, worker: Worker) -> Worker:
         if worker.worker_id in self._leaving:
             return replace(worker, state=WorkerState.LEAVING)
         return worker
 
 
-def _has_moved(former: Worker | None, worker: Worker) -> bool:
-    return former is not None and former.url != worker.url
+def _has_new_url(previous: Worker | None, worker: Worker) -> bool:
+    return previous is not None and previous.url != worker.url
 
 
 def _leaving_ids(workers: Iterable[Worker]) -> set[WorkerId]:
--- a/src/marjoramwharf/service/__init__.py
+++ b/src/marjoramwharf/service/__init__.py
@@ -1,1 +1,1 @@
-"""The path of a latency-critical request."""
+"""Admission, routing and dispatch of requests to latency-critical services."""
--- a/src/marjoramwharf/service/_attempts.py
+++ b/src/marjoramwharf/service/_attempts.py
@@ -1,4 +1,4 @@
-"""Single calls under a permit, with the accounting of their ends."""
+"""Runs single calls under a permit and records how they end."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from marjoramwharf.tracing import hop
 
 _MS_PER_S = 1_000
-_ADMIT_TRIES_COUNT = 3
+_MAX_ACQUIRE_TRIES_COUNT = 3
 
 
 @dataclass(slots=True)
@@ -36,49 +36,49 @@
 
 
 class AttemptRunner:
-    """Acquires permits and runs calls; every permit is accounted for."""
+    """Acquires permits and runs calls; releases or hands over every permit."""
 
-    def __init__(self, parts: DispatchDependencies) -> None:
-        """Keep the parts."""
-        self._parts = parts
+    def __init__(self, deps: DispatchDependencies) -> None:
+        """Use the collaborators of the dispatcher."""
+        self._deps = deps
 
     async def acquire(
         self,
         request: ServiceRequest,
-        avoided: frozenset[WorkerId],
+        excluded: frozenset[WorkerId],
     ) -> Permit | NotRun:
-        """Return a permit of a worker that may get a request now.
+        """Return a permit of a healthy worker or of one due for a probe.
 
-        Probes of ejected workers are made with idempotent requests only.
+        Only idempotent requests are used as probes of ejected workers.
         """
-        health = self._parts.health
-        for _ in range(_ADMIT_TRIES_COUNT):
+        health = self._deps.health
+        for _ in range(_MAX_ACQUIRE_TRIES_COUNT):
             ejected = health.list_ejected(
-                self._parts.clock(),
+                self._deps.clock(),
                 allow_probes=request.is_idempotent,
             )
-            permit = await self._parts.acquire(request, avoided | ejected)
+            permit = await self._deps.acquire(request, excluded | ejected)
             if isinstance(permit, NotRun):
                 return permit
-            if health.try_begin_call(permit.worker_id, self._parts.clock()):
+            if health.try_begin_call(permit.worker_id, self._deps.clock()):
                 return permit
-            self._parts.release(permit)
+            self._deps.release(permit)
         return NotRun(Reason.NO_CAPACITY, 'no healthy worker', 1)
 
     def acquire_idle(
         self,
         request: ServiceRequest,
-        avoided: frozenset[WorkerId],
+        excluded: frozenset[WorkerId],
     ) -> Permit | None:
-        """Return a permit of a healthy worker if one is idle now."""
-        now_s = self._parts.clock()
-        ejected = self._parts.health.list_ejected(now_s, allow_probes=False)
-        permit = self._parts.acquire_idle(request, avoided | ejected)
+        """Return a permit of a healthy worker if one is idle."""
+        now_s = self._deps.clock()
+        ejected = self._deps.health.list_ejected(now_s, allow_probes=False)
+        permit = self._deps.acquire_idle(request, excluded | ejected)
         if permit is None:
             return None
-        if self._parts.health.try_begin_call(permit.worker_id, now_s):
+        if self._deps.health.try_begin_call(permit.worker_id, now_s):
             return permit
-        self._parts.release(permit)
+        self._deps.release(permit)
         return None
 
     async def incarnation_of(
@@ -86,34 +86,34 @@
         permit: Permit,
         timeout_s: float,
     ) -> Incarnation | None:
-        """Return the worker's incarnation, or ``None`` if it is not reached.
+        """Return the worker's incarnation, or ``None`` if it is unreachable.
 
-        The permit is put back in the latter case.
+        In the latter case the permit is released.
         """
-        verdict = HealthSignal.NONE
+        signal = HealthSignal.NONE
         try:
             with trio.move_on_after(timeout_s):
-                agent = self._parts.get_agent(permit.worker_id)
+                agent = self._deps.get_agent(permit.worker_id)
                 return await agent.fetch_incarnation()
         except WorkerUnreachable:
-            verdict = HealthSignal.FAILED
+            signal = HealthSignal.FAILED
         except BaseException:
             self.release_unused(permit)
             raise
-        self.release_unused(permit, verdict)
+        self.release_unused(permit, signal)
         return None
 
     def release_unused(
         self,
         permit: Permit,
-        verdict: HealthSignal = HealthSignal.NONE,
+        signal: HealthSignal = HealthSignal.NONE,
     ) -> None:
-        """Put back a permit that was not used."""
-        self._parts.release(permit)
-        now_s = self._parts.clock()
-        self._parts.health.record_call_end(
+        """Release an unused permit and record ``signal`` for its worker."""
+        self._deps.release(permit)
+        now_s = self._deps.clock()
+        self._deps.health.record_call_end(
             permit.worker_id,
-            verdict,
+            signal,
             now_s,
             start_s=now_s,
         )
@@ -127,63 +127,63 @@
     ) -> CallOutcome:
         """Run one call; the permit is released or handed over in any case.
 
-        Without an ``incarnation`` the call is for the one last seen.
+        Without ``incarnation`` the call expects the worker's last known one.
         """
-        start_s = self._parts.clock()
+        start_s = self._deps.clock()
         timeout_ms = int((request.deadline_s - start_s) * _MS_PER_S)
         if timeout_ms <= 0:
             self.release_unused(permit)
             return CallRefused(call_id, WorkerRefusal.NOT_CONNECTED)
         attempt = _Attempt(permit, call_id, start_s)
-        call = _call(request, permit, call_id, timeout_ms)
+        call = _build_call(request, permit, call_id, timeout_ms)
         if incarnation is not None:
             call = replace(call, incarnation=incarnation)
         with hop('dispatch.attempt') as span, ExitStack() as stack:
             span.set_attribute('worker', permit.worker_id)
             span.set_attribute('request_id', request.request_id)
-            stack.callback(self._account, request, attempt)
+            stack.callback(self._record_end, request, attempt)
             outcome = await self._send(call)
             attempt.outcome = outcome
         return outcome
 
     async def _send(self, call: Call) -> CallOutcome:
         try:
-            agent = self._parts.get_agent(call.permit.worker_id)
+            agent = self._deps.get_agent(call.permit.worker_id)
         except WorkerUnreachable:
             return CallRefused(call.call_id, WorkerRefusal.NOT_CONNECTED)
         if call.incarnation is None:
             call = replace(call, incarnation=agent.incarnation)
         return await agent.run(call)
 
-    def _account(self, request: ServiceRequest, attempt: _Attempt) -> None:
-        now_s = self._parts.clock()
+    def _record_end(self, request: ServiceRequest, attempt: _Attempt) -> None:
+        now_s = self._deps.clock()
         outcome = attempt.outcome
         worker_id = attempt.permit.worker_id
-        self._parts.health.record_call_end(
+        self._deps.health.record_call_end(
             worker_id,
-            _verdict(outcome),
+            _classify_outcome(outcome),
             now_s,
             start_s=attempt.start_s,
         )
         if isinstance(outcome, CallRefused):
-            self._parts.refused(attempt.permit, outcome.refusal)
+            self._deps.refused(attempt.permit, outcome.refusal)
         elif isinstance(outcome, CallAnswer):
-            self._parts.release(attempt.permit)
+            self._deps.release(attempt.permit)
         elif request.is_idempotent:
-            self._parts.enqueue_cancel(attempt.permit, attempt.call_id)
+            self._deps.enqueue_cancel(attempt.permit, attempt.call_id)
         else:
-            self._parts.enqueue_settle(attempt.permit, attempt.call_id)
+            self._deps.enqueue_settle(attempt.permit, attempt.call_id)
         latency_s = now_s - attempt.start_s
         if outcome is None:
-            self._parts.observe_lower_bound(
+            self._deps.observe_lower_bound(
                 request.service,
                 worker_id,
                 latency_s * _MS_PER_S,
                 now_s,
             )
         elif is_successful(outcome):
-            self._parts.policy.observe(request.service, latency_s)
-            self._parts.observe(
+            self._deps.policy.observe(request.service, latency_s)
+            self._deps.observe(
                 request.service,
                 worker_id,
                 latency_s * _MS_PER_S,
@@ -192,12 +192,16 @@
 
 
 def build_done(answer: CallAnswer) -> Done:
-    """Return an answer as the outcome of a request."""
+    """Convert the answer of a call to the outcome of a request."""
     return Done(answer.status, answer.content_type, answer.body)
 
 
-def _verdict(outcome: CallOutcome | None) -> HealthSignal:
-    """Judge a worker; refusals and cancelled calls say nothing of it."""
+def _classify_outcome(outcome: CallOutcome | None) -> HealthSignal:
+    """Return what an outcome shows about the health of its worker.
+
+    Cancelled calls and refusals show nothing; only the refusal of a call that
+    found no connection counts as a failure.
+    """
     if outcome is None:
         return HealthSignal.NONE
     if is_successful(outcome):
@@ -208,7 +212,7 @@
     return HealthSignal.FAILED
 
 
-def _call(
+def _build_call(
     request: ServiceRequest,
     permit: Permit,
     call_id: CallId,
--- a/src/marjoramwharf/service/_claimed.py
+++ b/src/marjoramwharf/service/_claimed.py
@@ -1,4 +1,4 @@
-"""Dispatch of non-idempotent requests, each run at most once."""
+"""Dispatches non-idempotent requests, each of which runs at most once."""
 
 from __future__ import annotations
 
@@ -34,16 +34,18 @@
     withdraw_claim,
 )
 
-_REFUSED = NotRun(Reason.WORKER_REFUSED, 'workers refused it', 1)
-_NO_CLAIM = NotRun(Reason.DEADLINE, 'the claim was not written in time', 1)
-# The look-up that precedes a refusal may come after the request's deadline.
+_REFUSED_BY_WORKERS = NotRun(Reason.WORKER_REFUSED, 'workers refused it', 1)
+_CLAIM_NOT_WRITTEN = NotRun(
+    Reason.DEADLINE, 'the claim was not written in time', 1
+)
+# The look-up before a refusal may happen after the request's deadline.
 _LOOK_UP_TIMEOUT_S = 1
-_NOT_READ = NotRun(Reason.DEADLINE, 'the claim was not read in time', 1)
+_CLAIM_NOT_READ = NotRun(Reason.DEADLINE, 'the claim was not read in time', 1)
 
 
 @dataclass(frozen=True, slots=True)
-class _Target:
-    """What a new claim names."""
+class _ClaimTarget:
+    """Worker, call and incarnation that a new claim names."""
 
     worker_id: WorkerId
     call_id: CallId
@@ -53,26 +55,29 @@
 class ClaimedDispatch:
     """Serves requests with an idempotency key.
 
-    ``open_claim`` in the methods below is a claim whose call proved never to
-    run. It must be taken over to run the request, and withdrawn before the
-    caller is told "not run", since another entry may hold it too.
+    ``open_claim`` in the methods below is a claim whose call provably never
+    ran. The request may run only after a take-over of this claim, and
+    ``NotRun`` may be answered only after its withdrawal, since another entry
+    may use the same claim.
     """
 
     def __init__(
-        self, parts: DispatchDependencies, attempts: AttemptRunner
+        self, deps: DispatchDependencies, attempts: AttemptRunner
     ) -> None:
-        """Keep the parts."""
-        self._parts = parts
+        """Use the collaborators and the attempts of the dispatcher."""
+        self._deps = deps
         self._attempts = attempts
 
     async def serve(self, request: ServiceRequest, key: str) -> Outcome:
-        """Run a request once, or return what became of its earlier run."""
+        """Run a request once, or return the outcome of its earlier run."""
         open_claim: Claim | None = None
-        avoided: frozenset[WorkerId] = frozenset()
+        excluded: frozenset[WorkerId] = frozenset()
         for attempts_count in range(1, MAX_ATTEMPTS_COUNT + 1):
-            permit = await self._attempts.acquire(request, avoided)
+            permit = await self._attempts.acquire(request, excluded)
             if isinstance(permit, NotRun):
-                return await self._refused(request, key, open_claim, permit)
+                return await self._answer_refused(
+                    request, key, open_claim, permit
+                )
             outcome = await self._claim_and_run(
                 request,
                 key,
@@ -83,9 +88,11 @@
                 open_claim = outcome.claim
             elif outcome is not None:
                 return outcome
-            avoided = frozenset((permit.worker_id,))
-            await trio.sleep(backoff_s(attempts_count, self._parts.rng))
-        return await self._refused(request, key, open_claim, _REFUSED)
+            excluded = frozenset((permit.worker_id,))
+            await trio.sleep(backoff_s(attempts_count, self._deps.rng))
+        return await self._answer_refused(
+            request, key, open_claim, _REFUSED_BY_WORKERS
+        )
 
     async def _claim_and_run(
         self,
@@ -94,13 +101,15 @@
         permit: Permit,
         open_claim: Claim | None,
     ) -> Outcome | NeverRan | None:
-        """Run a call under a claim; ``None`` if the worker is not reached."""
-        # The claim names the incarnation, so it must be known beforehand.
-        timeout_s = self._left_s(request) / 2
+        """Run a call under a claim; ``None`` if the worker is unreachable."""
+        # The claim names the incarnation, so it is fetched before the claim.
+        timeout_s = self._remaining_s(request) / 2
         incarnation = await self._attempts.incarnation_of(permit, timeout_s)
         if incarnation is None:
             return None
-        target = _Target(permit.worker_id, CallId(random_id()), incarnation)
+        target = _ClaimTarget(
+            permit.worker_id, CallId(random_id()), incarnation
+        )
         try:
             claimed = await self._claim(request, key, target, open_claim)
         except BaseException:
@@ -114,25 +123,25 @@
         if isinstance(claimed, Gone):
             return NotRun(Reason.WORKER_REFUSED, 'the claim was withdrawn', 1)
         if open_claim is None:
-            return _unclaimed(request, key, claimed)
-        return await self._not_run(key, open_claim, claimed)
+            return _answer_without_claim(request, key, claimed)
+        return await self._withdraw_open_claim(key, open_claim, claimed)
 
     async def _claim(
         self,
         request: ServiceRequest,
         key: str,
-        target: _Target,
+        target: _ClaimTarget,
         open_claim: Claim | None,
     ) -> ClaimOutcome | NotRun:
-        """Write the claim within the deadline."""
-        claims = self._parts.claims
-        with trio.move_on_after(self._left_s(request)):
+        """Create or take over the claim within the request's deadline."""
+        claims = self._deps.claims
+        with trio.move_on_after(self._remaining_s(request)):
             try:
                 if open_claim is None:
                     return await claims.create(
                         request.team,
                         key,
-                        digest=_digest(request),
+                        digest=_compute_digest(request),
                         worker_id=target.worker_id,
                         call_id=target.call_id,
                         incarnation=target.incarnation,
@@ -145,7 +154,7 @@
                 )
             except Failure as failure:
                 return NotRun(failure.reason, failure.message, 1)
-        return _NO_CLAIM
+        return _CLAIM_NOT_WRITTEN
 
     async def _run(
         self,
@@ -161,7 +170,7 @@
             claim.record.incarnation,
         )
         if isinstance(outcome, CallAnswer):
-            self._parts.claims.complete(claim, outcome)
+            self._deps.claims.complete(claim, outcome)
             return build_done(outcome)
         if isinstance(outcome, CallRefused):
             return NeverRan(claim)
@@ -173,8 +182,8 @@
         key: str,
         claim: Claim,
     ) -> Done | NotRun | Unknown | NeverRan:
-        """Return what became of the call that a claim names."""
-        if claim.record.digest != _digest(request):
+        """Return the outcome of the call that a claim names."""
+        if claim.record.digest != _compute_digest(request):
             return NotRun(
                 Reason.KEY_REUSED,
                 'the idempotency key belongs to another request',
@@ -182,39 +191,44 @@
         return await resolve_claim(
             claim,
             key,
-            claims=self._parts.claims,
-            get_agent=self._parts.get_agent,
-            rng=self._parts.rng,
-            timeout_s=self._left_s(request),
+            claims=self._deps.claims,
+            get_agent=self._deps.get_agent,
+            rng=self._deps.rng,
+            timeout_s=self._remaining_s(request),
         )
 
-    async def _refused(
+    async def _answer_refused(
         self,
         request: ServiceRequest,
         key: str,
         open_claim: Claim | None,
         not_run: NotRun,
     ) -> Outcome:
-        """Answer without a permit; an earlier dispatch may have run it."""
+        """Answer a request without a permit or refused by every worker.
+
+        An earlier dispatch, possibly at another entry, may have run it.
+        """
         if open_claim is not None:
-            return await self._not_run(key, open_claim, not_run)
-        claim: Claim | NotRun | None = _NOT_READ
+            return await self._withdraw_open_claim(key, open_claim, not_run)
+        claim: Claim | NotRun | None = _CLAIM_NOT_READ
         with trio.move_on_after(_LOOK_UP_TIMEOUT_S):
             try:
-                claim = await self._parts.claims.look_up(request.team, key)
+                claim = await self._deps.claims.look_up(request.team, key)
             except Failure as failure:
                 claim = NotRun(failure.reason, failure.message, 1)
         if isinstance(claim, NotRun):
             is_first = request.is_first_attempt
-            return _unclaimed(request, key, not_run if is_first else claim)
+            return _answer_without_claim(
+                request, key, not_run if is_first else claim
+            )
         if claim is None:
             return not_run
         outcome = await self._resolve(request, key, claim)
         if isinstance(outcome, NeverRan):
-            return await self._not_run(key, outcome.claim, not_run)
+            return await self._withdraw_open_claim(key, outcome.claim, not_run)
         return outcome
 
-    async def _not_run(
+    async def _withdraw_open_claim(
         self,
         key: str,
         open_claim: Claim | None,
@@ -224,29 +238,29 @@
             return not_run
         return await withdraw_claim(
             open_claim,
-            self._parts.claims,
+            self._deps.claims,
             not_run,
             key,
         )
 
-    def _left_s(self, request: ServiceRequest) -> float:
-        return max(request.deadline_s - self._parts.clock(), 0)
+    def _remaining_s(self, request: ServiceRequest) -> float:
+        return max(request.deadline_s - self._deps.clock(), 0)
 
 
-def _unclaimed(
+def _answer_without_claim(
     request: ServiceRequest,
     key: str,
     not_run: NotRun,
 ) -> NotRun | Unknown:
-    """Answer without knowledge of the claims with this key.
+    """Answer a request whose claim could not be read or written.
 
-    Only the caller's declaration proves that no earlier dispatch of the
-    request exists, which another entry may have made.
+    An earlier dispatch, possibly by another entry, may have run the request.
+    Only the caller's declaration of a first attempt rules this out.
     """
     if request.is_first_attempt:
         return not_run
     return Unknown(not_run.reason, not_run.message, key)
 
 
-def _digest(request: ServiceRequest) -> str:
+def _compute_digest(request: ServiceRequest) -> str:
     return request_digest(request.service, request.content_type, request.body)
--- a/src/marjoramwharf/service/_idempotent.py
+++ b/src/marjoramwharf/service/_idempotent.py
@@ -1,4 +1,4 @@
-"""Dispatch of idempotent requests, with retries and hedged calls."""
+"""Dispatches idempotent requests with retries and hedged calls."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 from marjoramwharf.service.retry import backoff_s, is_successful
 
 
-# How often an idle slot is looked for once a hedged call is due.
+# Interval of the polls for an idle slot once a hedged call is due.
 _IDLE_POLL_S = 0.05
 
 
 @dataclass(slots=True)
 class _Race:
-    """Calls of one request that run at the same time."""
+    """Concurrent calls of one request."""
 
     nursery: trio.Nursery
     running_count: int = 0
     outcomes: list[CallOutcome] = field(default_factory=list)
 
-    def ended(self, outcome: CallOutcome) -> None:
-        """Stop the others after a good answer, or if none runs any more."""
+    def record_end(self, outcome: CallOutcome) -> None:
+        """Stop waiting after a successful answer or the end of all calls."""
         self.outcomes.append(outcome)
         self.running_count -= 1
         if is_successful(outcome) or not self.running_count:
@@ -50,40 +50,40 @@
     """Serves requests that may run more than once."""
 
     def __init__(
-        self, parts: DispatchDependencies, attempts: AttemptRunner
+        self, deps: DispatchDependencies, attempts: AttemptRunner
     ) -> None:
-        """Keep the parts."""
-        self._parts = parts
+        """Use the collaborators and the attempts of the dispatcher."""
+        self._deps = deps
         self._attempts = attempts
 
     async def serve(self, request: ServiceRequest) -> Outcome:
-        """Return the first good answer, or what the failures prove."""
-        seen: list[CallOutcome] = []
-        avoided: frozenset[WorkerId] = frozenset()
+        """Return the first successful answer, or the combined failures."""
+        outcomes: list[CallOutcome] = []
+        excluded: frozenset[WorkerId] = frozenset()
         attempts_count = 0
         while True:
-            permit = await self._attempts.acquire(request, avoided)
+            permit = await self._attempts.acquire(request, excluded)
             if isinstance(permit, NotRun):
-                return _concluded(seen, permit)
-            seen.extend(await self._race(request, permit))
+                return _combine_outcomes(outcomes, permit)
+            outcomes.extend(await self._race(request, permit))
             attempts_count += 1
-            if not self._may_retry(request, seen, attempts_count):
+            if not self._may_retry(request, outcomes, attempts_count):
                 refused = NotRun(Reason.WORKER_REFUSED, 'workers refused it', 1)
-                return _concluded(seen, refused)
-            avoided = frozenset((permit.worker_id,))
-            await trio.sleep(backoff_s(attempts_count, self._parts.rng))
+                return _combine_outcomes(outcomes, refused)
+            excluded = frozenset((permit.worker_id,))
+            await trio.sleep(backoff_s(attempts_count, self._deps.rng))
 
     def _may_retry(
         self,
         request: ServiceRequest,
-        seen: Sequence[CallOutcome],
+        outcomes: Sequence[CallOutcome],
         attempts_count: int,
     ) -> bool:
-        now_s = self._parts.clock()
-        if now_s >= request.deadline_s or any(map(is_successful, seen)):
+        now_s = self._deps.clock()
+        if now_s >= request.deadline_s or any(map(is_successful, outcomes)):
             return False
-        return self._parts.policy.may_retry(
-            seen[-1],
+        return self._deps.policy.may_retry(
+            outcomes[-1],
             is_idempotent=True,
             attempts_count=attempts_count,
             now_s=now_s,
@@ -94,12 +94,12 @@
         request: ServiceRequest,
         permit: Permit,
     ) -> Sequence[CallOutcome]:
-        """Run a call, and a second one if the first takes long."""
+        """Run a call, and a hedged call if the first takes too long."""
         async with trio.open_nursery() as nursery:
             race = _Race(nursery)
             race.running_count += 1
             nursery.start_soon(self._run, request, permit, race)
-            delay_s = self._parts.policy.hedge_delay_s(
+            delay_s = self._deps.policy.hedge_delay_s(
                 request.service,
                 is_idempotent=True,
             )
@@ -111,21 +111,21 @@
     async def _hedge(
         self,
         request: ServiceRequest,
-        first: WorkerId,
+        first_worker_id: WorkerId,
         race: _Race,
     ) -> None:
         """Run a second call if a slot is idle and the budget allows it.
 
-        A hedged call must not wait for a slot: under load it would take the
-        place of a request that has none yet. It is tried until the first
-        call has ended, which cancels this task.
+        A hedged call must not queue for a slot: under load it would take the
+        slot of a request that has none yet. The poll for an idle slot goes on
+        until the first call ends, which cancels this task.
         """
-        avoided = frozenset((first,))
-        permit = self._attempts.acquire_idle(request, avoided)
+        excluded = frozenset((first_worker_id,))
+        permit = self._attempts.acquire_idle(request, excluded)
         while permit is None:
             await trio.sleep(_IDLE_POLL_S)
-            permit = self._attempts.acquire_idle(request, avoided)
-        if self._parts.policy.budget.try_spend(self._parts.clock()):
+            permit = self._attempts.acquire_idle(request, excluded)
+        if self._deps.policy.budget.try_spend(self._deps.clock()):
             race.running_count += 1
             await self._run(request, permit, race)
         else:
@@ -138,15 +138,17 @@
         race: _Race,
     ) -> None:
         call_id = CallId(random_id())
-        race.ended(await self._attempts.run(request, permit, call_id))
+        race.record_end(await self._attempts.run(request, permit, call_id))
 
 
-def _concluded(seen: Sequence[CallOutcome], not_run: NotRun) -> Outcome:
-    """Return the best outcome; "not run" only if no call may have run."""
-    answers = [found for found in seen if isinstance(found, CallAnswer)]
+def _combine_outcomes(
+    outcomes: Sequence[CallOutcome], not_run: NotRun
+) -> Outcome:
+    """Return the best outcome; ``not_run`` only if no call may have run."""
+    answers = [answer for answer in outcomes if isinstance(answer, CallAnswer)]
     if answers:
         return build_done(max(answers, key=is_successful))
-    for outcome in seen:
+    for outcome in outcomes:
         if isinstance(outcome, CallInDoubt):
             return Unknown(outcome.reason, 'no whole answer arrived', None)
     return not_run
--- a/src/marjoramwharf/service/admission.py
+++ b/src/marjoramwharf/service/admission.py
@@ -1,7 +1,7 @@
-"""Admission of requests: a permit at once, a place in the queue, or a refusal.
+"""Admits requests: with a permit at once, by queueing, or by a refusal.
 
-Each waiting request is a task that sleeps until a permit is handed to it, its
-deadline passes, or it is shed.
+Each queued request is a task that sleeps until it gets a permit, its deadline
+passes, or it is shed.
 """
 
 from __future__ import annotations
@@ -21,25 +21,25 @@
 ChoosePermit = Callable[[ServiceId, frozenset[WorkerId], float], Permit | None]
 Clock = Callable[[], float]
 
-# Weight of the newest second in the drain rate.
-_DRAIN_BLEND = 0.3
+# Weight of the newest second in the release rate.
+_RATE_SMOOTHING = 0.3
 
 
 @dataclass(slots=True, eq=False)
-class _Place:
-    """A waiting request with the event that wakes its task."""
+class _Waiter:
+    """A queued request and the event that wakes its task."""
 
-    waiting: QueuedRequest
+    queued: QueuedRequest
     excluded: frozenset[WorkerId]
-    woken: trio.Event
+    wakeup: trio.Event
     outcome: Permit | NotRun | None = None
 
 
 class ReleaseRateMeter:
-    """Rate at which permits come free, as a moving average per second."""
+    """Moving average of the permits released per second."""
 
     def __init__(self) -> None:
-        """Start without a rate, which refuses nobody."""
+        """Start without a rate; no wait is predicted until there is one."""
         self.per_s: float = 0
         self._second = 0
         self._count = 0
@@ -48,13 +48,13 @@
         """Count one released permit."""
         second = int(now_s)
         if second != self._second:
-            self._close(second)
+            self._finish_second(second)
         self._count += 1
 
-    def _close(self, second: int) -> None:
+    def _finish_second(self, second: int) -> None:
         rate = self._count / max(1, second - self._second)
         if self.per_s > 0:
-            self.per_s += _DRAIN_BLEND * (rate - self.per_s)
+            self.per_s += _RATE_SMOOTHING * (rate - self.per_s)
         elif self._second:
             self.per_s = rate
         self._second = second
@@ -62,7 +62,7 @@
 
 
 class Admission:
-    """Hands permits to requests in the order of the queue."""
+    """Hands permits to queued requests in the order of the queue."""
 
     def __init__(
         self,
@@ -73,10 +73,10 @@
         service_time_s: Callable[[ServiceId], float],
         clock: Clock,
     ) -> None:
-        """Wire the queue to the router's choice.
+        """Connect the queue to ``choose``, which selects a worker.
 
-        ``put_back`` takes the permit of a request that was cancelled between
-        the hand-over and its next step.
+        ``put_back`` takes back a permit that was handed to a request whose
+        task was cancelled before it resumed.
         """
         self.total_wait_s: float = 0
         self.shed_counts: Counter[Reason] = Counter()
@@ -85,8 +85,8 @@
         self._put_back = put_back
         self._service_time_s = service_time_s
         self._clock = clock
-        self._places: dict[int, _Place] = {}
-        self._drain = ReleaseRateMeter()
+        self._waiters: dict[int, _Waiter] = {}
+        self._release_rate = ReleaseRateMeter()
 
     @property
     def waiting_count(self) -> int:
@@ -98,98 +98,98 @@
         request: ServiceRequest,
         excluded: frozenset[WorkerId],
     ) -> Permit | NotRun:
-        """Return a permit, or the proof that the request did not run."""
+        """Wait for a permit; return ``NotRun`` if the request is refused."""
         now_s = self._clock()
         if now_s >= request.deadline_s:
-            return _too_late()
+            return _refuse_past_deadline()
         if not len(self._queue):
             permit = self._choose(request.service, excluded, now_s)
             if permit is not None:
                 return permit
-        place = _Place(QueuedRequest(request), excluded, trio.Event())
-        self._enqueue(place, now_s)
-        return await self._wait(place, now_s)
+        waiter = _Waiter(QueuedRequest(request), excluded, trio.Event())
+        self._enqueue(waiter, now_s)
+        return await self._wait(waiter, now_s)
 
     def acquire_idle(
         self,
         request: ServiceRequest,
         excluded: frozenset[WorkerId],
     ) -> Permit | None:
-        """Return a permit that no request waits for."""
+        """Return a permit if one is free and no request is queued."""
         if len(self._queue):
             return None
         return self._choose(request.service, excluded, self._clock())
 
     def on_permit_released(self) -> None:
-        """Note that a permit came free and serve the queue."""
-        self._drain.count(self._clock())
+        """Update the release rate and serve the queue."""
+        self._release_rate.count(self._clock())
         self.serve()
 
     def serve(self) -> None:
-        """Hand free permits to waiting requests until one gets none.
+        """Hand free permits to queued requests until one gets none.
 
-        A retry that finds only workers that it must avoid does not block the
-        requests behind it.
+        A retry that finds only excluded workers does not block the requests
+        behind it.
         """
         now_s = self._clock()
         blocked: list[QueuedRequest] = []
         while len(self._queue):
-            waiting = self._queue.pop(now_s, service_time_s=0)
-            if waiting is None:
+            queued = self._queue.pop(now_s, service_time_s=0)
+            if queued is None:
                 break
-            place = self._places[id(waiting)]
+            waiter = self._waiters[id(queued)]
             permit = self._choose(
-                waiting.request.service,
-                place.excluded,
+                queued.request.service,
+                waiter.excluded,
                 now_s,
             )
             if permit is not None:
-                self._resolve(place, permit)
+                self._wake(waiter, permit)
                 continue
-            blocked.append(waiting)
-            if not place.excluded:
+            blocked.append(queued)
+            if not waiter.excluded:
                 break
-        for held_up in reversed(blocked):
-            self._queue.push_front(held_up)
+        for blocked_request in reversed(blocked):
+            self._queue.push_front(blocked_request)
 
-    def _enqueue(self, place: _Place, now_s: float) -> None:
-        self._places[id(place.waiting)] = place
+    def _enqueue(self, waiter: _Waiter, now_s: float) -> None:
+        self._waiters[id(waiter.queued)] = waiter
         shed = self._queue.offer(
-            place.waiting,
+            waiter.queued,
             now_s=now_s,
-            service_time_s=self._service_time_s(place.waiting.request.service),
-            release_rate_per_s=self._drain.per_s,
+            service_time_s=self._service_time_s(waiter.queued.request.service),
+            release_rate_per_s=self._release_rate.per_s,
         )
         for dropped in shed:
-            self._resolve(self._places[id(dropped.waiting)], dropped.answer)
+            self._wake(self._waiters[id(dropped.queued)], dropped.answer)
 
-    async def _wait(self, place: _Place, now_s: float) -> Permit | NotRun:
-        limit_s = place.waiting.request.deadline_s - now_s
+    async def _wait(self, waiter: _Waiter, now_s: float) -> Permit | NotRun:
+        limit_s = waiter.queued.request.deadline_s - now_s
         try:
             with trio.move_on_after(limit_s):
-                await place.woken.wait()
+                await waiter.wakeup.wait()
         except trio.Cancelled:
-            if isinstance(place.outcome, Permit):
-                self._put_back(place.outcome)
+            if isinstance(waiter.outcome, Permit):
+                self._put_back(waiter.outcome)
             raise
         finally:
-            self._leave(place, now_s)
-        outcome = place.outcome or _too_late()
+            self._remove(waiter, now_s)
+        outcome = waiter.outcome or _refuse_past_deadline()
         if isinstance(outcome, NotRun):
             self.shed_counts[outcome.reason] += 1
         return outcome
 
-    def _leave(self, place: _Place, since_s: float) -> None:
-        self.total_wait_s += self._clock() - since_s
-        self._places.pop(id(place.waiting), None)
-        self._queue.discard(place.waiting)
+    def _remove(self, waiter: _Waiter, enqueued_at_s: float) -> None:
+        self.total_wait_s += self._clock() - enqueued_at_s
+        self._waiters.pop(id(waiter.queued), None)
+        self._queue.discard(waiter.queued)
 
-    def _resolve(self, place: _Place, outcome: Permit | NotRun) -> None:
-        place.outcome = outcome
-        place.woken.set()
+    def _wake(self, waiter: _Waiter, outcome: Permit | NotRun) -> None:
+        waiter.outcome = outcome
+        waiter.wakeup.set()
 
 
-def _too_late() -> NotRun:
+def _refuse_past_deadline() -> NotRun:
     return NotRun(
         Reason.DEADLINE,
         'the deadline passed before a permit was free',
--- a/src/marjoramwharf/service/admission_queue.py
+++ b/src/marjoramwharf/service/admission_queue.py
@@ -1,9 +1,9 @@
 """The bounded queue of requests that wait for a permit.
 
-Requests are served by priority, and within a priority by a fair share for
-each team (start-time fair queueing with one unit a request). The queue sheds
-before work is wasted: a request that can't be answered by its deadline any
-more, and, when the queue is full, the newest of the lowest priority.
+Requests are served by priority, and within a priority in fair shares for the
+teams (start-time fair queueing with a cost of one per request). The queue
+sheds requests before work is wasted on them: a request that can't meet its
+deadline and, when the queue is full, the newest of the lowest priority.
 """
 
 from __future__ import annotations
@@ -21,31 +21,31 @@
     """A request in the queue."""
 
     request: ServiceRequest
-    is_gone: bool = False
+    is_discarded: bool = False
 
 
 @dataclass(slots=True)
 class _TeamQueue:
-    waiting: deque[QueuedRequest] = field(default_factory=deque)
-    # Virtual time at which the team's next request starts.
-    start: float = 0
+    queued: deque[QueuedRequest] = field(default_factory=deque)
+    # Virtual start time of the team's next request.
+    virtual_start: float = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ShedRequest:
-    """A request that was taken out of the queue, with the reason."""
+    """A request that was shed or refused, with the answer to its caller."""
 
-    waiting: QueuedRequest
+    queued: QueuedRequest
     answer: NotRun
 
 
 class AdmissionQueue:
-    """QueuedRequest requests by priority and team; it does no waiting itself."""
+    """Queued requests by priority and team; it starts and wakes no tasks."""
 
     def __init__(self, *, limit: int, team_share: float) -> None:
-        """Bound the queue to ``limit`` requests.
+        """Limit the queue to ``limit`` requests.
 
-        Once the queue is half full, a team may hold at most ``team_share`` of
+        Once the queue is half full, a team may queue at most ``team_share`` of
         the limit, so that one team can't keep the others out.
         """
         self._limit = limit
@@ -53,71 +53,71 @@
         self._queues: dict[Priority, dict[TeamId, _TeamQueue]] = {
             priority: {} for priority in Priority
         }
-        self._virtual: dict[Priority, float] = dict.fromkeys(Priority, 0)
+        self._virtual_times: dict[Priority, float] = dict.fromkeys(Priority, 0)
         self._length = 0
 
     def __len__(self) -> int:
-        """Return the number of waiting requests."""
+        """Return the number of queued requests."""
         return self._length
 
     def offer(
         self,
-        waiting: QueuedRequest,
+        queued: QueuedRequest,
         *,
         now_s: float,
         service_time_s: float,
         release_rate_per_s: float,
     ) -> tuple[ShedRequest, ...]:
-        """Add a request and return those that are shed for it.
+        """Add a request and return the requests that are shed for it.
 
-        ``service_time_s`` is the time that the service itself takes and
-        ``release_rate_per_s`` the rate at which permits came free of late. The
-        offered request is among the shed ones if it was refused.
+        ``service_time_s`` is the time that the service takes for a request,
+        ``release_rate_per_s`` the recent rate of released permits. If the
+        offered request is refused, it is itself among the shed requests.
         """
-        request = waiting.request
-        refusal = self._refusal(
+        request = queued.request
+        refusal = self._check_deadline_and_share(
             request, now_s, service_time_s, release_rate_per_s
         )
         if refusal is not None:
-            return (ShedRequest(waiting, refusal),)
+            return (ShedRequest(queued, refusal),)
         shed: tuple[ShedRequest, ...] = ()
         if self._length >= self._limit:
-            shed = self._make_room(request.priority)
+            shed = self._shed_lower_priority(request.priority)
             if not shed:
-                return (ShedRequest(waiting, _refuse(Reason.QUEUE_FULL)),)
-        self._append(waiting)
+                return (ShedRequest(queued, _refuse(Reason.QUEUE_FULL)),)
+        self._append(queued)
         return shed
 
     def pop(
         self, now_s: float, *, service_time_s: float
     ) -> QueuedRequest | None:
-        """Return the next request that can still be answered in time.
+        """Return the next request that can still meet its deadline.
 
-        Requests whose deadline can't be met any more are skipped; their own
-        tasks see the deadline.
+        Requests that can't meet their deadline are dropped without an answer;
+        their own tasks time out at the deadline.
         """
         for priority in sorted(Priority, reverse=True):
-            found = self._pop_of(priority, now_s + service_time_s)
+            found = self._pop_priority(priority, now_s + service_time_s)
             if found is not None:
                 return found
         return None
 
-    def push_front(self, waiting: QueuedRequest) -> None:
+    def push_front(self, queued: QueuedRequest) -> None:
         """Return a popped request to the head of its queue."""
-        queue = self._team_queue(waiting.request)
-        queue.waiting.appendleft(waiting)
-        queue.start -= 1
+        queue = self._team_queue(queued.request)
+        queue.queued.appendleft(queued)
+        queue.virtual_start -= 1
         self._length += 1
 
-    def discard(self, waiting: QueuedRequest) -> None:
-        """Take out a request whose caller is gone or whose time is over."""
-        queue = self._team_queue(waiting.request)
-        if waiting in queue.waiting:
-            queue.waiting.remove(waiting)
+    def discard(self, queued: QueuedRequest) -> None:
+        """Remove a request whose task has stopped waiting."""
+        queue = self._team_queue(queued.request)
+        if queued in queue.queued:
+            queue.queued.remove(queued)
             self._length -= 1
-        waiting.is_gone = True
+        queued.is_discarded = True
 
-    def _refusal(
+    def _check_deadline_and_share(
         self,
         request: ServiceRequest,
         now_s: float,
@@ -125,7 +125,7 @@
         release_rate_per_s: float,
     ) -> NotRun | None:
         ahead = sum(
-            len(queue.waiting)
+            len(queue.queued)
             for priority, teams in self._queues.items()
             if priority >= request.priority
             for queue in teams.values()
@@ -133,68 +133,70 @@
         wait_s = ahead / release_rate_per_s if release_rate_per_s > 0 else 0
         if now_s + wait_s + service_time_s > request.deadline_s:
             return _refuse(Reason.DEADLINE, retry_after_s=wait_s)
-        held = len(self._team_queue(request).waiting)
-        is_crowded = 2 * self._length >= self._limit
-        if is_crowded and held >= self._team_limit:
+        team_count = len(self._team_queue(request).queued)
+        is_half_full = 2 * self._length >= self._limit
+        if is_half_full and team_count >= self._team_limit:
             return _refuse(Reason.TEAM_LIMIT, retry_after_s=wait_s)
         return None
 
-    def _make_room(self, priority: Priority) -> tuple[ShedRequest, ...]:
+    def _shed_lower_priority(
+        self, priority: Priority
+    ) -> tuple[ShedRequest, ...]:
         for lower in sorted(Priority):
             if lower >= priority:
                 return ()
             longest = max(
                 self._queues[lower].values(),
-                key=_waiting_count,
+                key=_get_length,
                 default=None,
             )
-            if longest is not None and longest.waiting:
+            if longest is not None and longest.queued:
                 self._length -= 1
-                dropped = longest.waiting.pop()
+                dropped = longest.queued.pop()
                 return (ShedRequest(dropped, _refuse(Reason.QUEUE_FULL)),)
         return ()
 
-    def _append(self, waiting: QueuedRequest) -> None:
-        queue = self._team_queue(waiting.request)
-        if not queue.waiting:
-            virtual = self._virtual[waiting.request.priority]
-            queue.start = max(queue.start, virtual)
-        queue.waiting.append(waiting)
+    def _append(self, queued: QueuedRequest) -> None:
+        queue = self._team_queue(queued.request)
+        if not queue.queued:
+            virtual_time = self._virtual_times[queued.request.priority]
+            queue.virtual_start = max(queue.virtual_start, virtual_time)
+        queue.queued.append(queued)
         self._length += 1
 
-    def _pop_of(
+    def _pop_priority(
         self,
         priority: Priority,
         ready_by_s: float,
     ) -> QueuedRequest | None:
         teams = self._queues[priority]
         while True:
-            filled = [queue for queue in teams.values() if queue.waiting]
-            if not filled:
+            nonempty = [queue for queue in teams.values() if queue.queued]
+            if not nonempty:
                 return None
-            queue = min(filled, key=_start)
-            waiting = queue.waiting.popleft()
+            queue = min(nonempty, key=_get_virtual_start)
+            queued = queue.queued.popleft()
             self._length -= 1
-            if waiting.is_gone or ready_by_s > waiting.request.deadline_s:
+            if queued.is_discarded or ready_by_s > queued.request.deadline_s:
                 continue
-            self._virtual[priority] = queue.start
-            queue.start += 1
-            return waiting
+            self._virtual_times[priority] = queue.virtual_start
+            queue.virtual_start += 1
+            return queued
 
     def _team_queue(self, request: ServiceRequest) -> _TeamQueue:
         teams = self._queues[request.priority]
         return teams.setdefault(request.team, _TeamQueue())
 
 
-def _waiting_count(queue: _TeamQueue) -> int:
-    return len(queue.waiting)
+def _get_length(queue: _TeamQueue) -> int:
+    return len(queue.queued)
 
 
-def _start(queue: _TeamQueue) -> float:
-    return queue.start
+def _get_virtual_start(queue: _TeamQueue) -> float:
+    return queue.virtual_start
 
 
-_MESSAGES = {
+_REFUSAL_MESSAGES = {
     Reason.QUEUE_FULL: 'the queue is full of requests of this priority',
     Reason.DEADLINE: 'the deadline can not be met at the present load',
     Reason.TEAM_LIMIT: 'the team holds its share of the queue',
@@ -202,4 +204,4 @@
 
 
 def _refuse(reason: Reason, *, retry_after_s: float = 1) -> NotRun:
-    return NotRun(reason, _MESSAGES[reason], max(0.1, retry_after_s))
+    return NotRun(reason, _REFUSAL_MESSAGES[reason], max(0.1, retry_after_s))
--- a/src/marjoramwharf/service/dispatch.py
+++ b/src/marjoramwharf/service/dispatch.py
@@ -1,7 +1,7 @@
-"""From a caller's request to its outcome.
+"""Dispatches a caller's request to workers and returns its outcome.
 
-Idempotent requests are retried and hedged. Others are claimed in the store
-before the first dispatch and run at most once.
+Idempotent requests are retried and hedged. Other requests are claimed in the
+store before the first dispatch and run at most once.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 
 
 class Dispatcher:
-    """Serves requests with the parts that it is given."""
+    """Serves idempotent and non-idempotent requests."""
 
-    def __init__(self, parts: DispatchDependencies) -> None:
-        """Build the two ways of dispatch on the same parts."""
-        attempts = AttemptRunner(parts)
-        self._parts = parts
-        self._idempotent = IdempotentDispatch(parts, attempts)
-        self._claimed = ClaimedDispatch(parts, attempts)
+    def __init__(self, deps: DispatchDependencies) -> None:
+        """Build the dispatch of idempotent and of claimed requests."""
+        attempts = AttemptRunner(deps)
+        self._deps = deps
+        self._idempotent = IdempotentDispatch(deps, attempts)
+        self._claimed = ClaimedDispatch(deps, attempts)
 
     async def serve(self, request: ServiceRequest) -> Outcome:
-        """Return the answer, the proof that nothing ran, or "unknown"."""
-        self._parts.policy.budget.record_request(self._parts.clock())
+        """Run a request and return its outcome: done, not run or unknown."""
+        self._deps.policy.budget.record_request(self._deps.clock())
         with hop('dispatch') as span:
             span.set_attribute('service', request.service)
             span.set_attribute('request_id', request.request_id)
             outcome = await self._serve(request)
-            _describe(span, outcome)
+            _record_outcome(span, outcome)
         return outcome
 
     async def _serve(self, request: ServiceRequest) -> Outcome:
@@ -53,7 +53,7 @@
         return await self._claimed.serve(request, request.idempotency_key)
 
 
-def _describe(span: Span, outcome: Outcome) -> None:
+def _record_outcome(span: Span, outcome: Outcome) -> None:
     span.set_attribute('outcome', type(outcome).__name__)
     if isinstance(outcome, NotRun | Unknown):
         span.set_attribute('reason', outcome.reason.value)
--- a/src/marjoramwharf/service/dispatch_dependencies.py
+++ b/src/marjoramwharf/service/dispatch_dependencies.py
@@ -1,4 +1,4 @@
-"""The parts that the dispatcher is built from."""
+"""The collaborators and callbacks of the dispatcher."""
 
 from __future__ import annotations
 
@@ -18,17 +18,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatchDependencies:
-    """What the dispatcher works with.
+    """The collaborators and callbacks of the dispatcher.
 
-    ``acquire`` waits for a permit within the request's deadline and avoids
-    the given workers; it returns "not run" at once if it knows no others, and
-    keeps no permit if it is cancelled. ``acquire_idle`` returns a permit that
-    no other request waits for, or ``None``. ``enqueue_settle`` and
-    ``enqueue_cancel`` take over a permit whose call may still run; ``enqueue_cancel`` also
-    stops the call. ``get_agent`` raises ``WorkerUnreachable`` for an unknown
-    worker. ``refused`` takes the permit of a refused call. ``observe`` learns
-    the latency, in ms, of a good answer, and ``observe_lower_bound`` the time of a
-    call that was stopped. ``clock`` returns monotonic seconds.
+    ``acquire`` waits for a permit until the request's deadline, excluding the
+    given workers; it returns ``NotRun`` at once if there are no others, and
+    holds no permit after a cancellation. ``acquire_idle`` returns a permit
+    that no other request waits for, or ``None``. ``enqueue_settle`` and
+    ``enqueue_cancel`` take over a permit whose call may still run;
+    ``enqueue_cancel`` also stops the call. ``get_agent`` raises
+    ``WorkerUnreachable`` for an unknown worker. ``refused`` takes back the
+    permit of a refused call. ``observe`` records the latency, in ms, of a
+    successful answer, ``observe_lower_bound`` the time in ms that a cancelled
+    call had taken so far. ``clock`` returns monotonic seconds.
     """
 
     acquire: Callable[
--- a/src/marjoramwharf/service/drain.py
+++ b/src/marjoramwharf/service/drain.py
@@ -1,8 +1,8 @@
 """The graceful shutdown of an entry.
 
-The steps are: report not ready, so that the balancer stops sending; go on
-serving for a grace period, since the balancer learns it with a delay; then
-refuse new requests and wait for those in flight.
+The steps are: report not ready, so that the load balancer stops sending
+requests; keep serving for a grace period, since the load balancer notices
+with a delay; then refuse new requests and wait for those in flight.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @enum.unique
 class DrainState(enum.Enum):
-    """How far the shutdown has come."""
+    """Step of the shutdown that an entry is in."""
 
     SERVING = 'serving'
     NOT_READY = 'not_ready'
@@ -24,42 +24,42 @@
 
 
 class DrainGate:
-    """Counts the requests in flight and tells when they have ended."""
+    """Counts the requests in flight and waits for their end at shutdown."""
 
     def __init__(self) -> None:
-        """Start serving."""
+        """Start in the serving state."""
         self.state = DrainState.SERVING
         self.in_flight_count = 0
         self.shutdown_requested = trio.Event()
-        self._empty = trio.Event()
+        self._drained = trio.Event()
 
     @property
     def is_accepting(self) -> bool:
-        """Whether new requests are served."""
+        """Whether new requests are accepted."""
         return self.state is not DrainState.REFUSING
 
     @contextmanager
     def track_request(self) -> Iterator[None]:
-        """Count a request while the block runs."""
+        """Count a request as in flight while the block runs."""
         self.in_flight_count += 1
         try:
             yield
         finally:
             self.in_flight_count -= 1
             if not self.in_flight_count:
-                self._empty.set()
+                self._drained.set()
 
     def request_shutdown(self) -> None:
-        """Ask for the shutdown; the program's root task carries it out."""
+        """Request the shutdown; the program's root task carries it out."""
         self.shutdown_requested.set()
 
     async def drain(self, *, grace_s: float, timeout_s: float) -> bool:
-        """Carry out the steps; return whether nothing was left in flight."""
+        """Shut down in steps; return whether no request was left in flight."""
         self.state = DrainState.NOT_READY
         await trio.sleep(grace_s)
         self.state = DrainState.REFUSING
         with trio.move_on_after(timeout_s):
             while self.in_flight_count:
-                self._empty = trio.Event()
-                await self._empty.wait()
+                self._drained = trio.Event()
+                await self._drained.wait()
         return not self.in_flight_count
--- a/src/marjoramwharf/service/http_api.py
+++ b/src/marjoramwharf/service/http_api.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface to latency-critical services."""
+"""The HTTP API for requests to latency-critical services."""
 
 from __future__ import annotations
 
@@ -34,10 +34,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceDependencies:
-    """What the interface is wired to.
+    """The collaborators and callbacks of the HTTP API.
 
-    ``serve`` runs a request, ``look_up`` finds the outcome of a team's
-    idempotency key, ``services`` names the services in force.
+    ``serve`` runs a request, ``look_up`` returns the outcome of the request
+    with a team's idempotency key, and ``services`` returns the names of the
+    services in force.
     """
 
     serve: Callable[[ServiceRequest], Awaitable[Outcome]]
@@ -49,56 +50,56 @@
     settings: ServiceSettings
 
 
-def service_blueprint(parts: ServiceDependencies) -> Blueprint:
-    """Build the routes for requests and for the lookup of outcomes."""
+def service_blueprint(deps: ServiceDependencies) -> Blueprint:
+    """Build the routes for requests and for outcome look-ups."""
     blueprint = Blueprint('service', __name__)
 
     @blueprint.post('/v1/services/<service>')
     async def run_service(service: str) -> Response:
-        if not parts.gate.is_accepting:
-            return _turn_away(
+        if not deps.gate.is_accepting:
+            return _refuse_unread(
                 Reason.SHUTTING_DOWN,
                 'this entry is shutting down',
             )
-        with parts.gate.track_request():
-            return await _run(parts, service)
+        with deps.gate.track_request():
+            return await _serve_request(deps, service)
 
     @blueprint.get('/v1/outcomes/<path:key>')
     async def look_up_outcome(key: str) -> Response:
         team = TeamId(request.headers.get('X-Team', 'default'))
-        return _respond(await parts.look_up(team, key))
+        return _build_response(await deps.look_up(team, key))
 
     return blueprint
 
 
-async def _run(parts: ServiceDependencies, service: str) -> Response:
-    started_s = parts.clock()
-    if service not in parts.services():
+async def _serve_request(deps: ServiceDependencies, service: str) -> Response:
+    started_s = deps.clock()
+    if service not in deps.services():
         return not_run_response(
             Reason.UNKNOWN_SERVICE,
             f'no service {service!r} is in force',
         )
-    body = await read_body(parts.settings.max_body_bytes)
+    body = await read_body(deps.settings.max_body_bytes)
     if body is None:
-        limit = parts.settings.max_body_bytes
+        limit = deps.settings.max_body_bytes
         message = f'a body has at most {limit} bytes'
         return not_run_response(Reason.BODY_TOO_LARGE, message)
-    parsed = _parse(parts, service, body, started_s)
+    parsed = _parse_request(deps, service, body, started_s)
     if isinstance(parsed, NotRun):
-        return _respond(parsed)
+        return _build_response(parsed)
     structlog.contextvars.bind_contextvars(request_id=parsed.request_id)
     headers = dict(request.headers.items())
     with hop('entry.request', kind=SpanKind.SERVER, headers=headers) as span:
         span.set_attribute('request_id', parsed.request_id)
-        outcome = await parts.serve(parsed)
-    _count(parts, service, outcome, started_s)
-    response = _respond(outcome)
+        outcome = await deps.serve(parsed)
+    _record_metrics(deps, service, outcome, started_s)
+    response = _build_response(outcome)
     response.headers['X-Request-Id'] = parsed.request_id
     return response
 
 
-def _parse(
-    parts: ServiceDependencies,
+def _parse_request(
+    deps: ServiceDependencies,
     service: str,
     body: bytes,
     now_s: float,
@@ -106,25 +107,31 @@
     headers = request.headers
     try:
         timeout_ms = int(
-            headers.get('X-Timeout-Ms', parts.settings.default_timeout_ms),
+            headers.get('X-Timeout-Ms', deps.settings.default_timeout_ms),
         )
         priority = Priority[headers.get('X-Priority', 'normal').upper()]
     except (ValueError, KeyError):
-        return _bad('X-Timeout-Ms or X-Priority is malformed')
-    if not 0 < timeout_ms <= parts.settings.max_timeout_ms:
-        limit = parts.settings.max_timeout_ms
-        return _bad(f'X-Timeout-Ms is not between 1 and {limit}')
-    is_idempotent = _is_true('X-Idempotent')
+        return _refuse_malformed('X-Timeout-Ms or X-Priority is malformed')
+    if not 0 < timeout_ms <= deps.settings.max_timeout_ms:
+        limit = deps.settings.max_timeout_ms
+        return _refuse_malformed(f'X-Timeout-Ms is not between 1 and {limit}')
+    is_idempotent = _is_header_true('X-Idempotent')
     key = headers.get('Idempotency-Key')
     if key is None and not is_idempotent:
-        return _bad('Idempotency-Key is missing and X-Idempotent is not true')
+        return _refuse_malformed(
+            'Idempotency-Key is missing and X-Idempotent is not true'
+        )
     names = (key or '', headers.get('X-Team', 'default'))
     if max(map(len, names)) > _MAX_NAME_LENGTH:
-        return _bad(f'a name is longer than {_MAX_NAME_LENGTH} characters')
+        return _refuse_malformed(
+            f'a name is longer than {_MAX_NAME_LENGTH} characters'
+        )
     content_type = headers.get('Content-Type', _DEFAULT_CONTENT_TYPE)
     request_id = headers.get('X-Request-Id', random_id())[:64]
     if not all(map(is_header_safe, (*names, content_type, request_id))):
-        return _bad('a header has characters other than printable ASCII')
+        return _refuse_malformed(
+            'a header has characters other than printable ASCII'
+        )
     return ServiceRequest(
         request_id=request_id,
         service=ServiceId(service),
@@ -136,33 +143,33 @@
         priority=priority,
         is_idempotent=is_idempotent,
         idempotency_key=key,
-        is_first_attempt=_is_true('X-First-Attempt'),
+        is_first_attempt=_is_header_true('X-First-Attempt'),
     )
 
 
-def _is_true(header: str) -> bool:
+def _is_header_true(header: str) -> bool:
     return request.headers.get(header, 'false').lower() == 'true'
 
 
-def _turn_away(reason: Reason, message: str) -> Response:
+def _refuse_unread(reason: Reason, message: str) -> Response:
     """Refuse a request before its body is read.
 
-    A request with an idempotency key may repeat one that ran elsewhere, and
-    its claim was not looked up. Unless its caller declares a first attempt,
-    "not run" would not be proved.
+    The claim of the idempotency key, if there is a key, is not looked up. The
+    request may be a repeat of one that ran at another entry, so the answer is
+    "unknown" unless the caller declares a first attempt.
     """
     key = request.headers.get('Idempotency-Key')
     is_first = request.headers.get('X-First-Attempt', '').lower() == 'true'
     if key is None or is_first:
-        return _respond(NotRun(reason, message, 1))
-    return _respond(Unknown(reason, message, key))
+        return _build_response(NotRun(reason, message, 1))
+    return _build_response(Unknown(reason, message, key))
 
 
-def _bad(message: str) -> NotRun:
+def _refuse_malformed(message: str) -> NotRun:
     return NotRun(Reason.BAD_REQUEST, message)
 
 
-def _respond(outcome: Outcome) -> Response:
+def _build_response(outcome: Outcome) -> Response:
     if isinstance(outcome, Done):
         return Response(
             outcome.body,
@@ -186,19 +193,19 @@
     )
 
 
-def _count(
-    parts: ServiceDependencies,
+def _record_metrics(
+    deps: ServiceDependencies,
     service: str,
     outcome: Outcome,
     started_s: float,
 ) -> None:
     labels = {'service': service, 'outcome': 'done', 'reason': 'none'}
     if not isinstance(outcome, Done):
-        is_proved = isinstance(outcome, NotRun)
-        labels['outcome'] = 'not_run' if is_proved else 'unknown'
+        is_not_run = isinstance(outcome, NotRun)
+        labels['outcome'] = 'not_run' if is_not_run else 'unknown'
         labels['reason'] = outcome.reason.value
-    parts.metrics.requests_total.inc(labels)
-    parts.metrics.request_duration_seconds.observe(
+    deps.metrics.requests_total.inc(labels)
+    deps.metrics.request_duration_seconds.observe(
         {'service': service},
-        parts.clock() - started_s,
+        deps.clock() - started_s,
     )
--- a/src/marjoramwharf/service/latency.py
+++ b/src/marjoramwharf/service/latency.py
@@ -1,10 +1,10 @@
-"""Decayed estimates of the latency of each worker for each service.
+"""Exponentially decayed latency estimates per service and worker.
 
 An estimate rises at once with a slow answer and falls slowly with fast ones
-(a peak-sensitive moving average), since interference hits in bursts and the
-cost of sending one more request into a burst is high. Without answers it
-returns to the mean of all workers, so that a worker that was slow once is
-tried again.
+(a peak-sensitive moving average), because interference comes in bursts and
+sending one more request into a burst is expensive. Without answers the
+estimate decays to the mean of all workers, so that a worker that was slow
+once gets requests again.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 class LatencyEstimator:
     """Latency estimates in milliseconds by service and worker.
 
-    ``decay_s`` is the time after which an answer's weight has fallen to
-    about a third.
+    ``decay_s`` is the time constant of the decay: after it, the weight of an
+    answer has fallen to about a third.
     """
 
     def __init__(self, *, decay_s: float = 2, prior_ms: float = 10) -> None:
-        """Start without observations; ``prior_ms`` stands in for the mean."""
+        """Start without observations, with ``prior_ms`` as the mean."""
         self._decay_s = decay_s
         self._prior_ms = prior_ms
         self._means_ms: dict[ServiceId, _Estimate] = {}
@@ -42,21 +42,21 @@
         latency_ms: float,
         now_s: float,
     ) -> None:
-        """Take in the latency of one answer."""
+        """Update the estimates with the latency of one answer."""
         mean = self._means_ms.setdefault(
             service,
             _Estimate(latency_ms, now_s),
         )
-        _blend(mean, latency_ms, now_s, self._decay_s)
-        known = self._workers.get((service, worker_id))
-        if known is None:
+        _move_average(mean, latency_ms, now_s, self._decay_s)
+        estimate = self._workers.get((service, worker_id))
+        if estimate is None:
             self._workers[(service, worker_id)] = _Estimate(latency_ms, now_s)
             return
-        if latency_ms > known.latency_ms:
-            known.latency_ms = latency_ms
-            known.updated_at_s = now_s
+        if latency_ms > estimate.latency_ms:
+            estimate.latency_ms = latency_ms
+            estimate.updated_at_s = now_s
             return
-        _blend(known, latency_ms, now_s, self._decay_s)
+        _move_average(estimate, latency_ms, now_s, self._decay_s)
 
     def observe_lower_bound(
         self,
@@ -65,17 +65,18 @@
         latency_ms: float,
         now_s: float,
     ) -> None:
-        """Take in a call that was stopped before its answer.
+        """Update the estimate with a call cancelled before its answer.
 
-        It says something only if it took longer than was predicted.
+        The elapsed time is only a lower bound of the latency, so it counts
+        only if it exceeds the prediction.
         """
         if latency_ms > self.predict_ms(service, worker_id, now_s):
-            known = self._workers.setdefault(
+            estimate = self._workers.setdefault(
                 (service, worker_id),
                 _Estimate(latency_ms, now_s),
             )
-            known.latency_ms = latency_ms
-            known.updated_at_s = now_s
+            estimate.latency_ms = latency_ms
+            estimate.updated_at_s = now_s
 
     def mean_ms(self, service: ServiceId) -> float:
         """Return the mean latency of a service over all workers."""
@@ -88,17 +89,17 @@
         worker_id: WorkerId,
         now_s: float,
     ) -> float:
-        """Return the latency to expect of a worker now."""
+        """Return the predicted latency of a worker at this time."""
         mean_ms = self.mean_ms(service)
-        known = self._workers.get((service, worker_id))
-        if known is None:
+        estimate = self._workers.get((service, worker_id))
+        if estimate is None:
             return mean_ms
-        age_s = max(0, now_s - known.updated_at_s)
+        age_s = max(0, now_s - estimate.updated_at_s)
         weight = math.exp(-age_s / self._decay_s)
-        return weight * known.latency_ms + (1 - weight) * mean_ms
+        return weight * estimate.latency_ms + (1 - weight) * mean_ms
 
     def forget(self, worker_id: WorkerId) -> None:
-        """Drop what is known of a worker that is gone."""
+        """Remove the estimates of a removed worker."""
         self._workers = {
             key: estimate
             for key, estimate in self._workers.items()
@@ -106,7 +107,7 @@
         }
 
 
-def _blend(
+def _move_average(
     estimate: _Estimate,
     latency_ms: float,
     now_s: float,
@@ -114,8 +115,9 @@
 ) -> None:
     """Move an estimate towards an observation.
 
-    The weight of the old value falls with the time since the last one; the
-    floor of a tenth keeps the estimate moving under a high rate of answers.
+    The weight of the observation grows with the time since the last update.
+    It is at least a tenth, so that the estimate also follows answers that
+    arrive at a high rate.
     """
     age_s = max(0, now_s - estimate.updated_at_s)
     share = max(0.1, 1 - math.exp(-age_s / decay_s))
--- a/src/marjoramwharf/service/limits.py
+++ b/src/marjoramwharf/service/limits.py
@@ -1,6 +1,6 @@
-"""How the configuration in force bounds the request path.
+"""Queue limits and quotas of the configuration in force.
 
-The admission queue reads these values for each request. They are rebuilt
+The admission queue reads these limits for each request. They are rebuilt
 when the configuration changes; the functions are pure.
 """
 
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamBounds:
-    """What one team may use of one service.
+    """Slots and fair-share weight of one team at one service.
 
-    ``slots_count`` is ``None`` where no quota applies.
+    ``slots_count`` is ``None`` if no quota applies.
     """
 
     slots_count: int | None
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Requests that wait or run at this moment.
+    """Current numbers of running and queued requests.
 
-    ``running_count`` is the team's use of the service, the others count
-    waiting requests: of all teams, of the team and of the caller.
+    ``running_count`` counts the team's running requests to the service. The
+    other fields count queued requests: of all teams, the team and the caller.
     """
 
     running_count: int
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """The limits of one revision, as the admission queue reads them."""
+    """Queue limits and quotas of one revision of the configuration."""
 
     revision: NoteRevision
     queue_count: int
@@ -56,7 +56,7 @@
 
 
 def build_request_limits(configuration: Configuration) -> RequestLimits:
-    """Return the limits that a configuration sets."""
+    """Build the request limits of a configuration."""
     return RequestLimits(
         revision=NoteRevision(configuration.revision),
         queue_count=configuration.limits.queue_count,
@@ -76,9 +76,9 @@
     *,
     now_ms: int,
 ) -> TeamBounds:
-    """Return the bounds of a team at a Unix time.
+    """Return the bounds of a team at a Unix time in milliseconds.
 
-    A quota whose validity has ended no longer applies.
+    An expired quota does not apply.
     """
     quota = limits.quotas.get((team, service))
     if quota is None or _has_ended(quota, now_ms):
@@ -87,7 +87,7 @@
 
 
 def check_queue_limits(limits: RequestLimits, usage: Usage) -> Reason | None:
-    """Return why one more request may not wait, or ``None`` if it may."""
+    """Return the limit that one more queued request exceeds, or ``None``."""
     if usage.queued_count >= limits.queue_count:
         return Reason.QUEUE_FULL
     if usage.team_queued_count >= limits.team_count:
@@ -98,7 +98,7 @@
 
 
 def may_start(bounds: TeamBounds, usage: Usage) -> bool:
-    """Tell whether the quota lets one more request of the team run."""
+    """Tell whether the quota allows one more running request of the team."""
     limit = bounds.slots_count
     return limit is None or usage.running_count < limit
 
@@ -113,8 +113,8 @@
 ) -> dict[TeamId, float]:
     """Divide slots among teams by weight (weighted max-min fairness).
 
-    ``demands`` are the requests that each team wants to run. No team gets
-    more than its demand or its quota; what it leaves goes to the others.
+    ``demands`` is the number of requests that each team wants to run. No team
+    gets more than its demand or its quota; the rest goes to the other teams.
     """
     weights: dict[TeamId, float] = {}
     ceilings: dict[TeamId, float] = {}
@@ -123,28 +123,31 @@
         quota = demand if bounds.slots_count is None else bounds.slots_count
         weights[team] = bounds.weight
         ceilings[team] = min(demand, quota)
-    return _fill(weights, ceilings, slots_count)
+    return _fill_shares(weights, ceilings, slots_count)
 
 
-def _fill(
+def _fill_shares(
     weights: Mapping[TeamId, float],
     ceilings: Mapping[TeamId, float],
     slots_count: float,
 ) -> dict[TeamId, float]:
-    # Teams are settled in the order in which a rising common level, in slots
-    # per weight, reaches their ceilings.
+    # Progressive filling: the common fill level, in slots per unit of weight,
+    # rises, and teams are processed in the order in which it reaches their
+    # ceilings.
     shares: dict[TeamId, float] = {}
-    left = slots_count
-    left_weight = sum(weights.values())
-    for team in _by_level(weights, ceilings):
-        share = min(ceilings[team], left * weights[team] / left_weight)
+    remaining = slots_count
+    remaining_weight = sum(weights.values())
+    for team in _sort_by_fill_level(weights, ceilings):
+        share = min(
+            ceilings[team], remaining * weights[team] / remaining_weight
+        )
         shares[team] = share
-        left = max(left - share, 0)
-        left_weight -= weights[team]
+        remaining = max(remaining - share, 0)
+        remaining_weight -= weights[team]
     return shares
 
 
-def _by_level(
+def _sort_by_fill_level(
     weights: Mapping[TeamId, float],
     ceilings: Mapping[TeamId, float],
 ) -> Iterable[TeamId]:
--- a/src/marjoramwharf/service/request.py
+++ b/src/marjoramwharf/service/request.py
@@ -12,7 +12,7 @@
 
 @enum.unique
 class Priority(enum.IntEnum):
-    """Importance of a request; under overload the lowest is shed first."""
+    """Priority of a request; under overload the lowest is shed first."""
 
     LOW = 0
     NORMAL = 1
@@ -21,11 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceRequest:
-    """One request with its deadline in monotonic seconds.
+    """One request of a caller.
 
-    A request that is not idempotent needs an idempotency key.
-    ``is_first_attempt`` is the caller's word that no request with this key
-    was sent before, to this entry or to another.
+    ``arrived_at_s`` and ``deadline_s`` are in monotonic seconds. A request
+    that is not idempotent needs an idempotency key. With ``is_first_attempt``
+    the caller declares that it has sent no request with this key before,
+    neither to this entry nor to another.
     """
 
     request_id: str
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The whole answer of the service."""
+    """The complete answer of the service."""
 
     status: int
     content_type: str
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """Proof that the request did not run."""
+    """The request provably did not run."""
 
     reason: Reason
     message: str
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """It is not known whether the request ran; ask later with the key."""
+    """The request may have run; ``outcome_key`` serves to look it up later."""
 
     reason: Reason
     message: str
--- a/src/marjoramwharf/service/router.py
+++ b/src/marjoramwharf/service/router.py
@@ -1,7 +1,7 @@
-"""Choice of the worker for a request.
+"""Chooses the worker for a request.
 
-The choice looks at a bounded sample of the workers with a free permit, so its
-cost does not grow with the number of workers.
+The router compares a bounded sample of the workers with a free permit, so the
+cost of a choice does not grow with the number of workers.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from marjoramwharf.ids import ServiceId, WorkerId
 from marjoramwharf.service.latency import LatencyEstimator
 
-# Two random choices already avoid most of the tail; more samples also avoid
-# workers that are slow through interference.
+# Two random choices already avoid most of the tail latency; more samples also
+# avoid workers that interference slows down.
 SAMPLE_COUNT = 6
 
 RoundTripLookup: TypeAlias = Callable[[WorkerId], float]
 
 
 class PermitSource(Protocol):
-    """The wallet, as far as the router needs it."""
+    """Source of permits, as the router uses it."""
 
     def candidates(
         self,
@@ -34,16 +34,16 @@
         rng: random.Random,
         count: int,
     ) -> Sequence[WorkerId]:
-        """Return at most ``count`` sampled workers with a free permit."""
+        """Return a sample of at most ``count`` workers with a free permit."""
 
     def take(self, worker_id: WorkerId, now_s: float) -> Permit | None:
-        """Take a permit of a worker."""
+        """Take a permit of a worker, or return ``None`` if none is free."""
 
 
 class Router:
-    """Chooses workers by the routing rule in force and takes their permits.
+    """Chooses workers by the routing policy in force and takes their permits.
 
-    ``routing`` may be set at any time; the next choice follows it.
+    ``routing`` may be set at any time; the next choice applies it.
     """
 
     def __init__(
@@ -54,14 +54,14 @@
         round_trip_ms: RoundTripLookup,
         rng: random.Random,
     ) -> None:
-        """Wire the router; ``round_trip_ms`` is the delay to a worker."""
+        """Start idle; ``round_trip_ms`` returns the delay to a worker."""
         self.routing = Routing.PREDICTED
         self._permits = permits
         self._latencies = latencies
         self._round_trip_ms = round_trip_ms
         self._rng = rng
         self._started_at_s: dict[WorkerId, dict[int, float]] = {}
-        self._turns: dict[WorkerId, int] = {}
+        self._last_turns: dict[WorkerId, int] = {}
         self._turn = 0
 
     def choose(
@@ -70,7 +70,7 @@
         excluded: frozenset[WorkerId],
         now_s: float,
     ) -> Permit | None:
-        """Take a permit of the best sampled worker, or return ``None``."""
+        """Take a permit of the sampled worker that ranks best, or ``None``."""
         sampled = self._permits.candidates(
             service,
             now_s,
@@ -86,11 +86,11 @@
             return None
         permit = self._permits.take(min(usable)[1], now_s)
         if permit is not None:
-            self._note_use(permit, now_s)
+            self._record_call_start(permit, now_s)
         return permit
 
     def record_call_end(self, permit: Permit) -> None:
-        """Note that a call of this entry to a worker has ended."""
+        """Record that a call of this entry to a worker has ended."""
         started = self._started_at_s.get(permit.worker_id, {})
         started.pop(permit.serial, None)
         if not started:
@@ -102,14 +102,14 @@
         worker_id: WorkerId,
         now_s: float,
     ) -> float:
-        """Return the predicted time to the answer in milliseconds.
+        """Return the predicted latency of a call in milliseconds.
 
-        A call that is under way for longer than predicted shows a slow worker
-        before its answer does.
+        The age of the oldest call in flight is a lower bound, so that a slow
+        worker is recognised before its first slow answer arrives.
 
-        Observed latencies hold the delay of the link; for a worker that was
-        not observed yet the mean of all workers stands in, and the round trip
-        is added to prefer near workers.
+        Observed latencies include the network delay. For a worker without
+        observations the mean of all workers is used, so the round trip is
+        added to prefer near workers.
         """
         observed_ms = self._latencies.predict_ms(service, worker_id, now_s)
         started = self._started_at_s.get(worker_id)
@@ -124,22 +124,23 @@
     ) -> tuple[float, ...]:
         """Return the sort key of a worker; the lowest is chosen.
 
-        Predicted latencies decide in steps of a doubling and the calls under
-        way within a step. Finer differences are noise, and following them
-        would send most calls to one worker until it is found slow.
+        Predicted latencies are compared in steps of a factor of two, and
+        workers in the same step by their calls in flight. Finer differences
+        are noise: ranking by them would send most calls to one worker until
+        its latency rises.
         """
         if self.routing is Routing.ROUND_ROBIN:
-            return (self._turns.get(worker_id, 0),)
-        under_way = len(self._started_at_s.get(worker_id, ()))
+            return (self._last_turns.get(worker_id, 0),)
+        in_flight_count = len(self._started_at_s.get(worker_id, ()))
         if self.routing is Routing.LEAST_LOADED:
-            return (under_way,)
-        estimate_cost_ms = self.estimate_cost_ms(service, worker_id, now_s)
-        ratio = estimate_cost_ms / self._latencies.mean_ms(service)
+            return (in_flight_count,)
+        cost_ms = self.estimate_cost_ms(service, worker_id, now_s)
+        ratio = cost_ms / self._latencies.mean_ms(service)
         step = max(0, int(math.log2(max(ratio, 1))))
-        return (step, under_way, estimate_cost_ms)
+        return (step, in_flight_count, cost_ms)
 
-    def _note_use(self, permit: Permit, now_s: float) -> None:
+    def _record_call_start(self, permit: Permit, now_s: float) -> None:
         started = self._started_at_s.setdefault(permit.worker_id, {})
         started[permit.serial] = now_s
         self._turn += 1
-        self._turns[permit.worker_id] = self._turn
+        self._last_turns[permit.worker_id] = self._turn
--- a/src/marjoramwharf/service/settlement.py
+++ b/src/marjoramwharf/service/settlement.py
@@ -1,7 +1,8 @@
-"""Settlement of calls in doubt, and the outcome of a claimed request.
+"""Settles calls in doubt and resolves the outcome of claimed requests.
 
-A permit in doubt stays used until the worker has said that its call ended or
-never started. A claimed request is resolved by asking the claim's worker.
+A permit in doubt stays in use until its worker confirms that the call ended
+or never started. A claimed request is resolved by asking the worker that the
+claim names.
 """
 
 from __future__ import annotations
@@ -27,24 +28,24 @@
 
 AgentLookup: TypeAlias = Callable[[WorkerId], WorkerAgent]
 
-_FIRST_PAUSE_S = 0.02
-_MAX_PAUSE_S = 2.0
-_LOOKUP_TRIES_COUNT = 3
+_FIRST_POLL_INTERVAL_S = 0.02
+_MAX_POLL_INTERVAL_S = 2.0
+_MAX_LOOKUP_TRIES_COUNT = 3
 _WITHDRAW_TIMEOUT_S = 1
 
 
 @dataclass(frozen=True, slots=True)
-class _Doubt:
+class _PendingCall:
     permit: Permit
     call_id: CallId
-    is_abandoned: bool
+    is_cancelling: bool
 
 
 class Settlement:
-    """Background task that frees permits in doubt.
+    """Background task that releases the permits of calls in doubt.
 
-    Pass ``enqueue_settle`` for calls whose outcome matters and ``enqueue_cancel`` for calls
-    that the worker is to stop.
+    Use ``enqueue_settle`` for a call whose outcome matters, and
+    ``enqueue_cancel`` for a call that the worker must stop.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         release: Callable[[Permit], None],
         rng: random.Random,
     ) -> None:
-        """Ask workers through ``get_agent`` and free with ``release``.
+        """Query workers through ``get_agent``; free permits with ``release``.
 
         ``get_agent`` raises ``WorkerUnreachable`` for an unknown worker.
         """
@@ -62,56 +63,59 @@
         self._release = release
         self._rng = rng
         self._scopes: dict[WorkerId, set[trio.CancelScope]] = {}
-        self._waiting: deque[_Doubt] = deque()
+        self._pending: deque[_PendingCall] = deque()
         self._added = trio.Event()
 
     def enqueue_settle(self, permit: Permit, call_id: CallId) -> None:
-        """Free a permit when its call has ended; the call goes on."""
-        self._add(_Doubt(permit, call_id, is_abandoned=False))
+        """Release a permit when its call has ended; do not stop the call."""
+        self._add(_PendingCall(permit, call_id, is_cancelling=False))
 
     def enqueue_cancel(self, permit: Permit, call_id: CallId) -> None:
-        """Stop a call at the worker, then free its permit."""
-        self._add(_Doubt(permit, call_id, is_abandoned=True))
+        """Stop a call at its worker, then release its permit."""
+        self._add(_PendingCall(permit, call_id, is_cancelling=True))
 
     def forget(self, worker_id: WorkerId) -> None:
-        """Drop the permits of a worker that the platform's list lost."""
+        """Stop settling the calls of a worker that was removed.
+
+        Their permits are dropped without a release.
+        """
         for scope in self._scopes.get(worker_id, ()):
             scope.cancel()
 
     async def run(self) -> None:
-        """Settle what is in doubt, until cancelled."""
+        """Settle the calls in doubt, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                while self._waiting:
-                    nursery.start_soon(self._settle, self._waiting.popleft())
+                while self._pending:
+                    nursery.start_soon(self._settle, self._pending.popleft())
                 await self._added.wait()
                 self._added = trio.Event()
 
-    def _add(self, doubt: _Doubt) -> None:
+    def _add(self, pending: _PendingCall) -> None:
         self.in_doubt_count += 1
-        self._waiting.append(doubt)
+        self._pending.append(pending)
         self._added.set()
 
-    async def _settle(self, doubt: _Doubt) -> None:
-        scopes = self._scopes.setdefault(doubt.permit.worker_id, set())
+    async def _settle(self, pending: _PendingCall) -> None:
+        scopes = self._scopes.setdefault(pending.permit.worker_id, set())
         scope = trio.CancelScope()
         scopes.add(scope)
         with scope:
             await poll_until_settled(
                 self._get_agent,
-                doubt.permit.worker_id,
-                doubt.call_id,
+                pending.permit.worker_id,
+                pending.call_id,
                 rng=self._rng,
-                is_cancelling=doubt.is_abandoned,
+                is_cancelling=pending.is_cancelling,
             )
-            self._release(doubt.permit)
+            self._release(pending.permit)
         scopes.discard(scope)
         self.in_doubt_count -= 1
 
 
 @dataclass(frozen=True, slots=True)
 class NeverRan:
-    """The claim's call proved never to run; the claim may be taken over."""
+    """The call of the claim provably never ran; it may be taken over."""
 
     claim: Claim
 
@@ -125,31 +129,34 @@
     timeout_s: float = math.inf,
     is_cancelling: bool = False,
 ) -> SettleReply | None:
-    """Ask a worker until its call has ended or proved never to run.
+    """Poll a worker until a call has ended or provably never runs.
 
-    A worker that restarted since runs none of the calls sent before: its
-    "never" means that the call has ended, not that it did not run.
+    A restarted worker runs none of the calls that were sent before. Its reply
+    "never" then means that the call has ended, not that it did not run.
 
-    Returns the last state after ``timeout_s``: running, or ``None`` if the
-    worker was not reached. The worker is asked at least once, unless the
-    time is over before it answers.
+    Returns the last reply after ``timeout_s``: state "running", or ``None`` if
+    the worker was not reached. The worker is polled at least once, unless the
+    timeout passes before it replies.
     """
-    last: SettleReply | None = None
-    pause_s = _FIRST_PAUSE_S
+    last_reply: SettleReply | None = None
+    interval_s = _FIRST_POLL_INTERVAL_S
     with trio.move_on_after(max(timeout_s, 0)):
         while True:
             with suppress(WorkerUnreachable):
                 agent = get_agent(worker_id)
-                last = await (
+                last_reply = await (
                     agent.cancel(call_id)
                     if is_cancelling
                     else agent.settle(call_id)
                 )
-            if last is not None and last.state is not CallState.RUNNING:
-                return last
-            await trio.sleep(rng.uniform(pause_s / 2, pause_s))
-            pause_s = min(pause_s * 2, _MAX_PAUSE_S)
-    return last
+            if (
+                last_reply is not None
+                and last_reply.state is not CallState.RUNNING
+            ):
+                return last_reply
+            await trio.sleep(rng.uniform(interval_s / 2, interval_s))
+            interval_s = min(interval_s * 2, _MAX_POLL_INTERVAL_S)
+    return last_reply
 
 
 async def resolve_claim(
@@ -161,37 +168,37 @@
     rng: random.Random,
     timeout_s: float,
 ) -> Done | Unknown | NeverRan:
-    """Return the outcome of a claimed request; waits while it runs."""
+    """Return the outcome of a claimed request; wait while its call runs."""
     record = claim.record
     if record.status is not None and record.body is not None:
         return Done(record.status, record.content_type, record.body)
-    settled = await poll_until_settled(
+    reply = await poll_until_settled(
         get_agent,
         record.worker_id,
         record.call_id,
         rng=rng,
         timeout_s=timeout_s,
     )
-    if settled is None:
+    if reply is None:
         return Unknown(
             Reason.WORKER_UNREACHABLE if timeout_s else Reason.DEADLINE,
             f'worker {record.worker_id} was not asked in time',
             outcome_key,
         )
-    if settled.answer is not None and _is_kept(record, settled.answer.body):
+    if reply.answer is not None and _matches_record(record, reply.answer.body):
         if record.status is None:
-            claims.complete(claim, settled.answer)
-        answer = settled.answer
+            claims.complete(claim, reply.answer)
+        answer = reply.answer
         return Done(answer.status, answer.content_type, answer.body)
-    if record.status is not None or settled.state is CallState.FINISHED:
+    if record.status is not None or reply.state is CallState.FINISHED:
         return Unknown(
             Reason.BODY_TOO_LARGE,
             'the request ran; its answer was not kept',
             outcome_key,
         )
-    if settled.state is CallState.NEVER:
-        return _never_seen(claim, settled, outcome_key)
-    return _unfinished(settled.state, outcome_key)
+    if reply.state is CallState.NEVER:
+        return _resolve_never(claim, reply, outcome_key)
+    return _describe_unfinished(reply.state, outcome_key)
 
 
 async def look_up_outcome(
@@ -205,10 +212,10 @@
 ) -> Outcome | None:
     """Return the outcome of a non-idempotent request by its key.
 
-    ``None`` means that no claim with this key exists. "Not run" is returned
-    only after the claim was withdrawn, so that no entry runs it any more.
+    ``None`` means that no claim with this key exists. ``NotRun`` is returned
+    only after the claim was withdrawn, so that no entry can run it later.
     """
-    for _ in range(_LOOKUP_TRIES_COUNT):
+    for _ in range(_MAX_LOOKUP_TRIES_COUNT):
         try:
             claim = await claims.look_up(team, key)
         except Failure as failure:
@@ -238,7 +245,7 @@
     not_run: NotRun,
     outcome_key: str,
 ) -> NotRun | Unknown:
-    """Return ``not_run`` if no entry can take the claim over any more."""
+    """Withdraw a claim; return ``not_run`` if no entry can take it over."""
     with trio.move_on_after(_WITHDRAW_TIMEOUT_S):
         try:
             is_withdrawn = await claims.withdraw(claim)
@@ -254,21 +261,21 @@
     return Unknown(Reason.DEADLINE, 'the store is slow', outcome_key)
 
 
-def _is_kept(record: ClaimRecord, body: bytes) -> bool:
-    """Tell whether a body is the recorded answer, if one was recorded."""
+def _matches_record(record: ClaimRecord, body: bytes) -> bool:
+    """Tell whether a body matches the recorded digest, if there is one."""
     if record.status is None:
         return True
     return hashlib.sha256(body).hexdigest() == record.body_sha256
 
 
-def _never_seen(
+def _resolve_never(
     claim: Claim,
-    settled: SettleReply,
+    reply: SettleReply,
     outcome_key: str,
 ) -> NeverRan | Unknown:
-    """Judge a "never": it proves nothing about a former process."""
+    """Resolve the reply "never", which holds only for the same incarnation."""
     record = claim.record
-    if record.incarnation and settled.incarnation == record.incarnation:
+    if record.incarnation and reply.incarnation == record.incarnation:
         return NeverRan(claim)
     return Unknown(
         Reason.WORKER_RESTARTED,
@@ -277,7 +284,7 @@
     )
 
 
-def _unfinished(state: CallState, outcome_key: str) -> Unknown:
+def _describe_unfinished(state: CallState, outcome_key: str) -> Unknown:
     if state is CallState.CANCELLED:
         return Unknown(
             Reason.CANCELLED,
--- a/tests/machines/__init__.py
+++ b/tests/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the views of workers."""
+"""Tests of worker state, worker health and the agents' client."""
--- a/tests/machines/test_agent.py
+++ b/tests/machines/test_agent.py
@@ -1,4 +1,4 @@
-"""The agent's client against the stand-in worker over loopback."""
+"""The client of worker agents, with the stand-in worker on loopback."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from standins.worker import WorkerServer, serve_worker
 from standins.worker_state import Faults, WorkerConfig, WorkerState
 
-_Body = Callable[[HttpWorkerAgent, WorkerServer], Awaitable[None]]
+_Scenario = Callable[[HttpWorkerAgent, WorkerServer], Awaitable[None]]
 
 
 def make_call(call_id: str, *, epoch: int = 1, timeout_ms: int = 5_000) -> Call:
@@ -72,24 +72,28 @@
 
 
 class AgentTests(unittest.TestCase):
-    """Guards against answers and refusals that are taken for others."""
+    """Guards against answers and refusals that are misread."""
 
-    def test_answer_is_whole(self) -> None:
-        """Guards against a client that refuses good answers."""
+    def test_answer_is_complete(self) -> None:
+        """Guards against a client that rejects correct answers."""
 
-        async def body(agent: HttpWorkerAgent, _server: WorkerServer) -> None:
+        async def scenario(
+            agent: HttpWorkerAgent, _server: WorkerServer
+        ) -> None:
             answer = await agent.run(make_call('a'))
             self.assertEqual(
                 answer,
                 CallAnswer(CallId('a'), 200, 'text/plain', b'a' * 100),
             )
 
-        _with_worker(body)
+        _with_worker(scenario)
 
-    def test_cut_answer_is_in_doubt(self) -> None:
-        """Guards against a part of an answer passed on as whole."""
+    def test_truncated_answer_is_in_doubt(self) -> None:
+        """Guards against a truncated answer that counts as complete."""
 
-        async def body(agent: HttpWorkerAgent, server: WorkerServer) -> None:
+        async def scenario(
+            agent: HttpWorkerAgent, server: WorkerServer
+        ) -> None:
             server.apply_faults(Faults(cut_answers_share=1))
             outcome = await agent.run(make_call('a'))
             self.assertEqual(
@@ -101,12 +105,14 @@
             assert settled.answer is not None
             self.assertEqual(settled.answer.body, b'a' * 100)
 
-        _with_worker(body)
+        _with_worker(scenario)
 
-    def test_crossed_answer_is_in_doubt(self) -> None:
-        """Guards against an answer to another call."""
+    def test_answer_to_another_call_is_in_doubt(self) -> None:
+        """Guards against the answer to one call returned for another."""
 
-        async def body(agent: HttpWorkerAgent, server: WorkerServer) -> None:
+        async def scenario(
+            agent: HttpWorkerAgent, server: WorkerServer
+        ) -> None:
             server.apply_faults(Faults(cross_answers_share=1))
             await agent.run(make_call('a'))
             outcome = await agent.run(make_call('b'))
@@ -115,10 +121,10 @@
                 CallInDoubt(CallId('b'), Reason.ANSWER_CROSSED),
             )
 
-        _with_worker(body)
+        _with_worker(scenario)
 
-    def test_short_or_changed_answer_is_in_doubt(self) -> None:
-        """Guards against a body that only its headers show to be wrong."""
+    def test_corrupted_answer_is_in_doubt(self) -> None:
+        """Guards against a body that does not match its length or digest."""
         head = b'HTTP/1.1 200 OK\r\nX-Call-Id: a\r\n'
         digest = b'X-Body-Sha256: %b\r\n' % (b'0' * 64)
         for case in (
@@ -128,35 +134,39 @@
         ):
             with self.subTest(case):
                 self.assertEqual(
-                    trio.run(_answer_with, case),
+                    trio.run(_run_against, case),
                     CallInDoubt(CallId('a'), Reason.ANSWER_CUT),
                 )
 
     def test_settled_unseen_call_never_runs(self) -> None:
-        """Guards against a late call that runs after "never"."""
+        """Guards against a delayed call that runs after the reply "never"."""
 
-        async def body(agent: HttpWorkerAgent, server: WorkerServer) -> None:
+        async def scenario(
+            agent: HttpWorkerAgent, server: WorkerServer
+        ) -> None:
             settled = await agent.settle(CallId('a'))
             self.assertEqual(settled.state, CallState.NEVER)
-            self._refused(await agent.run(make_call('a')), 'settled')
+            self._assert_refused(await agent.run(make_call('a')), 'settled')
             self.assertFalse(server.state.history.calls)
 
-        _with_worker(body)
+        _with_worker(scenario)
 
     def test_old_epoch_and_revoked_grant_are_refused(self) -> None:
-        """Guards against work under a permit that was lent anew."""
+        """Guards against runs under a permit that was lent to another entry."""
 
-        async def body(agent: HttpWorkerAgent, _server: WorkerServer) -> None:
+        async def scenario(
+            agent: HttpWorkerAgent, _server: WorkerServer
+        ) -> None:
             await agent.lease(
                 Epoch(2),
                 revoked=(GrantId('2-1'),),
                 lease_ms=1_000,
             )
-            self._refused(await agent.run(make_call('a')), 'stale_epoch')
+            self._assert_refused(await agent.run(make_call('a')), 'stale_epoch')
             outcome = await agent.run(make_call('b', epoch=2))
-            self._refused(outcome, 'revoked_grant')
+            self._assert_refused(outcome, 'revoked_grant')
 
-        _with_worker(body)
+        _with_worker(scenario)
 
     def test_no_connection_proves_not_run(self) -> None:
         """Guards against doubt about a call that was never sent."""
@@ -166,7 +176,9 @@
             port = listeners[0].socket.getsockname()[1]
             await listeners[0].aclose()
             agent = _agent(f'http://127.0.0.1:{port}')
-            self._refused(await agent.run(make_call('a')), 'not_connected')
+            self._assert_refused(
+                await agent.run(make_call('a')), 'not_connected'
+            )
             with self.assertRaises(WorkerUnreachable):
                 await agent.settle(CallId('a'))
             await agent.aclose()
@@ -174,9 +186,11 @@
         trio.run(main)
 
     def test_timeout_leaves_the_call_counted(self) -> None:
-        """Guards against a slot that is taken for free after a timeout."""
+        """Guards against a slot that counts as free after a timeout."""
 
-        async def body(agent: HttpWorkerAgent, server: WorkerServer) -> None:
+        async def scenario(
+            agent: HttpWorkerAgent, server: WorkerServer
+        ) -> None:
             server.apply_faults(Faults(hang=True))
             outcome = await agent.run(make_call('a', timeout_ms=100))
             self.assertEqual(outcome, CallInDoubt(CallId('a'), Reason.DEADLINE))
@@ -186,12 +200,14 @@
             settled = await agent.cancel(CallId('a'))
             self.assertEqual(settled.state, CallState.CANCELLED)
 
-        _with_worker(body)
+        _with_worker(scenario)
 
     def test_connections_stay_within_the_session(self) -> None:
         """Guards against more connections than the session allows."""
 
-        async def body(agent: HttpWorkerAgent, server: WorkerServer) -> None:
+        async def scenario(
+            agent: HttpWorkerAgent, server: WorkerServer
+        ) -> None:
             async with trio.open_nursery() as nursery:
                 for number in range(20):
                     nursery.start_soon(agent.run, make_call(str(number)))
@@ -201,12 +217,14 @@
             reply = await agent.lease(Epoch(1), revoked=(), lease_ms=1_000)
             self.assertEqual(reply.connections[0][0], 'e1')
 
-        _with_worker(body)
+        _with_worker(scenario)
 
     def test_task_fences(self) -> None:
-        """Guards against two attempts, or two holders of a key, at once."""
+        """Guards against concurrent attempts of a task or holders of a key."""
 
-        async def body(agent: HttpWorkerAgent, _server: WorkerServer) -> None:
+        async def scenario(
+            agent: HttpWorkerAgent, _server: WorkerServer
+        ) -> None:
             started = await agent.start_task(_start(2, key='a'))
             assert isinstance(started, TaskReport)
             self.assertEqual(started.phase, TaskPhase.RUNNING)
@@ -235,33 +253,35 @@
             refused = await agent.start_task(_start(1))
             self.assertEqual(refused, WorkerRefusal.STALE_FENCE)
 
-        _with_worker(body)
+        _with_worker(scenario)
 
     def test_restarted_worker_refuses_calls_for_the_former(self) -> None:
-        """Guards against a "never" that another process says."""
+        """Guards against a "never" from a new incarnation taken as proof."""
 
-        async def body(agent: HttpWorkerAgent, server: WorkerServer) -> None:
+        async def scenario(
+            agent: HttpWorkerAgent, server: WorkerServer
+        ) -> None:
             former = await agent.fetch_incarnation()
             self.assertEqual(former, server.state.incarnation)
             await agent.run(make_call('a'))
             server.state = WorkerState(server.state.config, 0)
             call = replace(make_call('b'), incarnation=former)
-            self._refused(await agent.run(call), 'other_incarnation')
+            self._assert_refused(await agent.run(call), 'other_incarnation')
             settled = await agent.settle(CallId('a'))
             self.assertEqual(settled.state, CallState.NEVER)
             self.assertEqual(settled.incarnation, server.state.incarnation)
             self.assertEqual(agent.incarnation, server.state.incarnation)
             self.assertNotEqual(agent.incarnation, former)
 
-        _with_worker(body)
+        _with_worker(scenario)
 
-    def _refused(self, outcome: CallOutcome, refusal: str) -> None:
+    def _assert_refused(self, outcome: CallOutcome, refusal: str) -> None:
         assert isinstance(outcome, CallRefused), outcome
         self.assertEqual(outcome.refusal.value, refusal)
 
 
-async def _answer_with(raw: bytes) -> CallOutcome:
-    """Return how the client takes a fixed answer."""
+async def _run_against(raw: bytes) -> CallOutcome:
+    """Return the outcome of a call that gets a fixed response."""
 
     async def answer(stream: trio.SocketStream) -> None:
         await stream.receive_some()
@@ -283,7 +303,7 @@
     return HttpWorkerAgent(url, EntryId('e1'), connections_count=3)
 
 
-def _with_worker(body: _Body) -> None:
+def _with_worker(scenario: _Scenario) -> None:
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             url, server = await nursery.start(
@@ -292,7 +312,7 @@
             )
             agent = _agent(url)
             with trio.fail_after(30):
-                await body(agent, server)
+                await scenario(agent, server)
             await agent.aclose()
             nursery.cancel_scope.cancel()
 
--- a/tests/machines/test_worker_table.py
+++ b/tests/machines/test_worker_table.py
@@ -1,4 +1,4 @@
-"""The known workers: leaving wins over the lagging list."""
+"""Worker table: a reported leaving state overrides the lagging list."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class RosterTests(unittest.TestCase):
-    """Guards against new work for workers that are leaving."""
+    """Guards against new work for leaving workers."""
 
     def setUp(self) -> None:
         """List one live worker."""
         self.worker_table = WorkerTable()
         self.worker_table.apply(Listing(1, (_worker(),)))
 
-    def test_heartbeat_wins_over_the_list(self) -> None:
+    def test_heartbeat_overrides_the_list(self) -> None:
         """Guards against a lagging list that makes a worker live again."""
         self.assertTrue(self.worker_table.mark_leaving(_ID))
         self.assertFalse(self.worker_table.mark_leaving(_ID))
@@ -30,7 +30,7 @@
         self.assertEqual(len(self.worker_table.known()), 1)
 
     def test_same_list_again_changes_nothing(self) -> None:
-        """Guards against a skipped list that brings a leaving worker back."""
+        """Guards against a repeated list that makes a leaving worker live."""
         listing = Listing(2, (_worker(),))
         self.worker_table.apply(listing)
         self.worker_table.mark_leaving(_ID)
@@ -40,7 +40,7 @@
         self.assertEqual(len(self.worker_table.known()), 1)
 
     def test_leaving_in_the_list_is_final_too(self) -> None:
-        """Guards against a return to live under the same incarnation."""
+        """Guards against a leaving incarnation that becomes live again."""
         change = self.worker_table.apply(
             Listing(2, (_worker(state=WorkerState.LEAVING),)),
         )
@@ -66,14 +66,14 @@
         self.assertEqual(self.worker_table.live(), (moved,))
 
     def test_older_list_is_ignored(self) -> None:
-        """Guards against a removed worker that a late list brings back."""
+        """Guards against a removed worker that an older list restores."""
         self.worker_table.mark_leaving(_ID)
         self.worker_table.apply(Listing(3, ()))
         self.worker_table.apply(Listing(2, (_worker(),)))
         self.assertIsNone(self.worker_table.find(_ID))
 
     def test_report_before_the_list_counts(self) -> None:
-        """Guards against a peer's report that comes before the list."""
+        """Guards against a lost report that came before the first list."""
         worker_table = WorkerTable()
         worker_table.mark_leaving(_ID)
         worker_table.apply(Listing(1, (_worker(),)))
--- a/tests/service/__init__.py
+++ b/tests/service/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the path of a latency-critical request."""
+"""Tests of admission, routing and dispatch of latency-critical requests."""
--- a/tests/service/fakes.py
+++ b/tests/service/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes for the tests of the dispatcher."""
+"""Fake workers and entries for the tests of the dispatcher."""
 
 from __future__ import annotations
 
@@ -45,18 +45,18 @@
 
 
 class FakeAgent:
-    """A worker in memory: remembers calls, with faults set by tests.
+    """A worker in memory that records calls, with faults set by tests.
 
-    ``cut`` loses answers after the run, ``status`` is the answers' status,
-    ``refusal`` refuses every call, ``run_s`` is the time of a run, and
-    ``delays_s`` delays the arrival of the next calls and
-    ``settle_delays_s`` the replies to the next settlements. ``restart`` ends
-    the process and starts one that remembers nothing.
+    ``cuts_answers`` loses answers after the run, ``status`` is the status of
+    the answers, ``refusal`` refuses every call, ``run_s`` is the duration of a
+    run, ``delays_s`` delays the arrival of the next calls and
+    ``settle_delays_s`` the replies to the next settle requests. ``restart``
+    replaces the process by one without any recorded calls.
     """
 
     def __init__(self) -> None:
         """Start healthy."""
-        self.cut = False
+        self.cuts_answers = False
         self.is_unreachable = False
         self.is_down = False
         self.status = 200
@@ -70,7 +70,7 @@
         self._states: dict[CallId, SettleReply] = {}
 
     def restart(self) -> None:
-        """Forget all calls and change the incarnation."""
+        """Remove all recorded calls and change the incarnation."""
         self.incarnation = Incarnation(f'{self.incarnation}+')
         self._states.clear()
 
@@ -82,7 +82,7 @@
         return self.incarnation
 
     async def run(self, call: Call) -> CallOutcome:
-        """Run a call; a cancelled caller leaves it running."""
+        """Run a call; it keeps running if its caller is cancelled."""
         await trio.sleep(self.delays_s.pop() if self.delays_s else 0)
         if self.refusal is not None:
             return CallRefused(call.call_id, self.refusal)
@@ -99,7 +99,7 @@
         return CallInDoubt(call.call_id, Reason.DEADLINE)
 
     async def settle(self, call_id: CallId) -> SettleReply:
-        """Return the state and remember an unseen call."""
+        """Return the state of a call and refuse an unseen call from now on."""
         await trio.lowlevel.checkpoint()
         if self.is_unreachable:
             raise WorkerUnreachable(message='unreachable')
@@ -119,7 +119,7 @@
         return self._states[call_id]
 
     def finish(self, call: Call) -> CallOutcome:
-        """End a call, also one whose caller is gone."""
+        """End a call, possibly one whose caller was cancelled."""
         if call.incarnation != self.incarnation:
             return CallInDoubt(call.call_id, Reason.WORKER_UNREACHABLE)
         answer = CallAnswer(
@@ -129,7 +129,7 @@
             b' '.join((b'answer to', call.body)),
         )
         self._states[call.call_id] = SettleReply(CallState.FINISHED, answer)
-        if self.cut:
+        if self.cuts_answers:
             return CallInDoubt(call.call_id, Reason.ANSWER_CUT)
         return answer
 
@@ -141,7 +141,7 @@
         """Start the workers and an empty store."""
         self.agents = {WorkerId(name): FakeAgent() for name in worker_ids}
         self.store = MemoryStore()
-        self.lent: set[Permit] = set()
+        self.permits_in_use: set[Permit] = set()
         self.acquired: list[WorkerId] = []
         self.has_capacity = True
         self.rng = random.Random(1)
@@ -150,35 +150,35 @@
     async def acquire(
         self,
         request: ServiceRequest,
-        avoided: frozenset[WorkerId],
+        excluded: frozenset[WorkerId],
     ) -> Permit | NotRun:
-        """Return a permit of the first worker that is not avoided."""
+        """Return a permit of the first worker that is not excluded."""
         await trio.lowlevel.checkpoint()
-        permit = self.acquire_idle(request, avoided)
+        permit = self.acquire_idle(request, excluded)
         return permit or NotRun(Reason.NO_CAPACITY, 'no permit')
 
     def acquire_idle(
         self,
         request: ServiceRequest,
-        avoided: frozenset[WorkerId],
+        excluded: frozenset[WorkerId],
     ) -> Permit | None:
         """Return a permit without waiting."""
-        left = [name for name in self.agents if name not in avoided]
+        left = [name for name in self.agents if name not in excluded]
         is_late = trio.current_time() >= request.deadline_s
         if not left or is_late or not self.has_capacity:
             return None
         self._serial += 1
         permit = Permit(GrantId('1-1'), left[0], Epoch(1), self._serial, 1e9)
-        self.lent.add(permit)
+        self.permits_in_use.add(permit)
         self.acquired.append(left[0])
         return permit
 
     def get_agent(self, worker_id: WorkerId) -> WorkerAgent:
-        """Return a fake; it lacks the calls about tasks."""
+        """Return a fake agent, which has no methods for tasks."""
         return cast(WorkerAgent, self.agents[worker_id])
 
     def ran(self) -> list[Call]:
-        """Return what ran on all workers."""
+        """Return the calls that ran on all workers."""
         return [call for agent in self.agents.values() for call in agent.ran]
 
 
@@ -198,15 +198,15 @@
         self.policy = RetryPolicy(RetryBudget(0.1, trio.current_time()))
         self.settlement = Settlement(
             fleet.get_agent,
-            fleet.lent.remove,
+            fleet.permits_in_use.remove,
             fleet.rng,
         )
         self.dispatcher = Dispatcher(
             DispatchDependencies(
                 fleet.acquire,
                 fleet.acquire_idle,
-                fleet.lent.remove,
-                lambda permit, _refusal: fleet.lent.remove(permit),
+                fleet.permits_in_use.remove,
+                lambda permit, _refusal: fleet.permits_in_use.remove(permit),
                 lambda _service, _worker_id, _latency_ms, _now_s: None,
                 lambda _service, _worker_id, _latency_ms, _now_s: None,
                 self.settlement.enqueue_settle,
@@ -223,7 +223,7 @@
         nursery.start_soon(self.settlement.run)
 
 
-Body: TypeAlias = Callable[[Entry, Entry], Awaitable[None]]
+Scenario: TypeAlias = Callable[[Entry, Entry], Awaitable[None]]
 
 
 def make_request(
@@ -249,16 +249,16 @@
     )
 
 
-def with_entries(
+def run_with_entries(
     fleet: Fleet,
-    body: Body,
+    scenario: Scenario,
 ) -> None:
-    """Run a test with two entries, in virtual time."""
+    """Run a scenario with two entries, in virtual time."""
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             with trio.fail_after(10_000):
-                await body(Entry(fleet, nursery), Entry(fleet, nursery))
+                await scenario(Entry(fleet, nursery), Entry(fleet, nursery))
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=MockClock(autojump_threshold=0))
--- a/tests/service/test_admission.py
+++ b/tests/service/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: permits reach the right request, and refusals are timely."""
+"""Admission: permits reach the right request, refusals come in time."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 
 class AdmissionTests(unittest.TestCase):
-    """Guards against lost permits and requests that wait for ever."""
+    """Guards against lost permits and requests that wait forever."""
 
     def test_waiting_request_gets_the_released_permit(self) -> None:
         """Guards against a queue that is not served on a release."""
@@ -143,10 +143,10 @@
 
 
 class QueueTests(unittest.TestCase):
-    """Guards against unfair order and against work that is wasted."""
+    """Guards against unfair order and against work on hopeless requests."""
 
     def test_full_queue_sheds_the_lowest_priority(self) -> None:
-        """Guards against an urgent request refused for a minor one."""
+        """Guards against shedding a high priority before a low one."""
         queue = AdmissionQueue(limit=2, team_share=1)
         _offer(queue, _request(priority=Priority.LOW))
         _offer(queue, _request(priority=Priority.HIGH))
@@ -158,7 +158,7 @@
         self.assertIs(popped.request.priority, Priority.HIGH)
 
     def test_hopeless_request_is_refused_at_once(self) -> None:
-        """Guards against queueing what can't meet its deadline."""
+        """Guards against queueing a request that can't meet its deadline."""
         queue = AdmissionQueue(limit=100, team_share=1)
         for _ in range(10):
             _offer(queue, _request())
--- a/tests/service/test_dispatch.py
+++ b/tests/service/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The dispatcher: complete answers, at most one run, proved "not run"."""
+"""Dispatch: complete answers, at most one run, and proofs of "not run"."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from marjoramwharf.service.settlement import look_up_outcome
 from tests.service.fakes import (
     TEAM,
-    Body,
+    Scenario,
     Entry,
     Fleet,
     make_request,
-    with_entries,
+    run_with_entries,
 )
 
 _ANSWER = Done(200, 'text/plain', b'answer to notice')
@@ -33,53 +33,53 @@
         self.first = self.fleet.agents[WorkerId('w1')]
         self.second = self.fleet.agents[WorkerId('w2')]
 
-    def test_cut_answer_is_retried(self) -> None:
-        """Guards against a cut answer that is passed on as whole."""
-        self.first.cut = True
+    def test_truncated_answer_is_retried(self) -> None:
+        """Guards against a truncated answer that is forwarded as complete."""
+        self.first.cuts_answers = True
 
-        async def body(entry: Entry, _other: Entry) -> None:
+        async def scenario(entry: Entry, _other: Entry) -> None:
             self.assertEqual(
                 await entry.dispatcher.serve(make_request()),
                 _ANSWER,
             )
             await trio.sleep(1)
-            self.assertFalse(self.fleet.lent)
+            self.assertFalse(self.fleet.permits_in_use)
 
-        with_entries(self.fleet, body)
+        run_with_entries(self.fleet, scenario)
         self.assertEqual(len(self.second.ran), 1)
 
-    def test_doubt_is_never_answered_as_not_run(self) -> None:
+    def test_call_in_doubt_is_never_answered_as_not_run(self) -> None:
         """Guards against "not run" after a call that may have run."""
-        self.first.cut = True
+        self.first.cuts_answers = True
         self.second.refusal = WorkerRefusal.FULL
 
-        async def body(entry: Entry, _other: Entry) -> None:
+        async def scenario(entry: Entry, _other: Entry) -> None:
             outcome = await entry.dispatcher.serve(make_request())
             self.assertEqual(
                 outcome,
                 Unknown(Reason.ANSWER_CUT, 'no whole answer arrived', None),
             )
 
-        with_entries(self.fleet, body)
+        run_with_entries(self.fleet, scenario)
 
     def test_refused_everywhere_is_not_run(self) -> None:
-        """Guards against "unknown" where refusals prove "not run"."""
+        """Guards against "unknown" after refusals that prove "not run"."""
         self.first.refusal = WorkerRefusal.STALE_EPOCH
         self.second.refusal = WorkerRefusal.FULL
 
-        async def body(entry: Entry, _other: Entry) -> None:
+        async def scenario(entry: Entry, _other: Entry) -> None:
             outcome = await entry.dispatcher.serve(make_request())
             self.assertIsInstance(outcome, NotRun)
-            self.assertFalse(self.fleet.lent)
+            self.assertFalse(self.fleet.permits_in_use)
 
-        with_entries(self.fleet, body)
+        run_with_entries(self.fleet, scenario)
 
     def test_failing_worker_loses_its_load(self) -> None:
-        """Guards against a fast failing worker that attracts requests."""
+        """Guards against a worker that fails fast and so attracts requests."""
         self.first.status = 500
         self.first.run_s = 0
 
-        async def body(entry: Entry, _other: Entry) -> None:
+        async def scenario(entry: Entry, _other: Entry) -> None:
             for _ in range(60):
                 await entry.dispatcher.serve(make_request())
             self.assertLessEqual(len(self.first.ran), 6)
@@ -92,12 +92,12 @@
                 ),
             )
 
-        with_entries(self.fleet, body)
+        run_with_entries(self.fleet, scenario)
 
     def test_hedge_wins_and_the_loser_is_cancelled(self) -> None:
-        """Guards against a loser that keeps its slot and its work."""
+        """Guards against a slower call that goes on and keeps its slot."""
 
-        async def body(entry: Entry, _other: Entry) -> None:
+        async def scenario(entry: Entry, _other: Entry) -> None:
             for _ in range(50):
                 entry.policy.observe('notice', 0.02)
             self.first.run_s = 100
@@ -108,28 +108,28 @@
                 self.first.cancelled,
                 [self.first.ran[-1].call_id],
             )
-            self.assertFalse(self.fleet.lent)
+            self.assertFalse(self.fleet.permits_in_use)
 
-        with_entries(self.fleet, body)
+        run_with_entries(self.fleet, scenario)
         self.assertEqual(len(self.second.ran), 1)
 
     def test_cancelled_caller_frees_its_permit(self) -> None:
-        """Guards against a slot that is lost when a caller goes away."""
+        """Guards against a slot that leaks when a caller disconnects."""
         self.first.run_s = 100
 
-        async def body(entry: Entry, _other: Entry) -> None:
+        async def scenario(entry: Entry, _other: Entry) -> None:
             with trio.move_on_after(0.5):
                 await entry.dispatcher.serve(make_request(timeout_s=200))
-            self.assertEqual(len(self.fleet.lent), 1)
+            self.assertEqual(len(self.fleet.permits_in_use), 1)
             await trio.sleep(1)
-            self.assertFalse(self.fleet.lent)
+            self.assertFalse(self.fleet.permits_in_use)
             self.assertEqual(len(self.first.cancelled), 1)
 
-        with_entries(self.fleet, body)
+        run_with_entries(self.fleet, scenario)
 
 
 class _ClaimedCase(unittest.TestCase):
-    """Two workers and the check that exactly one call ran."""
+    """Two workers, and an assertion that exactly one call ran."""
 
     def setUp(self) -> None:
         """Start two healthy workers."""
@@ -137,8 +137,8 @@
         self.first = self.fleet.agents[WorkerId('w1')]
         self.second = self.fleet.agents[WorkerId('w2')]
 
-    async def _claim_only(self, entry: Entry) -> None:
-        """Leave a claim whose call was never sent."""
+    async def _create_claim(self, entry: Entry) -> None:
+        """Create a claim whose call is never sent."""
         await entry.claims.create(
             TEAM,
             'k',
@@ -158,8 +158,8 @@
             timeout_s=0.5,
         )
 
-    def _runs_once(self, body: Body) -> None:
-        with_entries(self.fleet, body)
+    def _assert_runs_once(self, scenario: Scenario) -> None:
+        run_with_entries(self.fleet, scenario)
         self.assertEqual(len(self.fleet.ran()), 1)
 
 
@@ -169,7 +169,7 @@
     def test_repeat_returns_the_recorded_answer(self) -> None:
         """Guards against a second run by a repeat at another entry."""
 
-        async def body(entry: Entry, other: Entry) -> None:
+        async def scenario(entry: Entry, other: Entry) -> None:
             outcome = await entry.dispatcher.serve(make_request(key='k'))
             self.assertEqual(outcome, _ANSWER)
             await entry.claims.drained()
@@ -177,12 +177,12 @@
             outcome = await other.dispatcher.serve(make_request(key='k'))
             self.assertEqual(outcome, _ANSWER)
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
     def test_another_request_with_the_key_is_refused(self) -> None:
-        """Guards against an answer to another request."""
+        """Guards against an answer that belongs to another request."""
 
-        async def body(entry: Entry, other: Entry) -> None:
+        async def scenario(entry: Entry, other: Entry) -> None:
             await entry.dispatcher.serve(make_request(key='k'))
             outcome = await other.dispatcher.serve(
                 make_request(b'other', key='k'),
@@ -190,44 +190,44 @@
             assert isinstance(outcome, NotRun)
             self.assertIs(outcome.reason, Reason.KEY_REUSED)
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
     def test_key_is_required(self) -> None:
-        """Guards against a request that can't be settled."""
+        """Guards against a request whose outcome can't be looked up."""
 
-        async def body(entry: Entry, _other: Entry) -> None:
+        async def scenario(entry: Entry, _other: Entry) -> None:
             outcome = await entry.dispatcher.serve(make_request(key=''))
             assert isinstance(outcome, NotRun)
             self.assertIs(outcome.reason, Reason.BAD_REQUEST)
 
-        with_entries(self.fleet, body)
+        run_with_entries(self.fleet, scenario)
 
     def test_cut_answer_is_settled(self) -> None:
         """Guards against "unknown" while the worker has the answer."""
-        self.first.cut = True
+        self.first.cuts_answers = True
 
-        async def body(entry: Entry, _other: Entry) -> None:
+        async def scenario(entry: Entry, _other: Entry) -> None:
             outcome = await entry.dispatcher.serve(make_request(key='k'))
             self.assertEqual(outcome, _ANSWER)
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
     def test_entry_dies_after_the_claim(self) -> None:
-        """Guards against a claim that blocks its request for good."""
+        """Guards against a claim that blocks its request forever."""
 
-        async def body(entry: Entry, other: Entry) -> None:
-            await self._claim_only(entry)
+        async def scenario(entry: Entry, other: Entry) -> None:
+            await self._create_claim(entry)
             outcome = await other.dispatcher.serve(make_request(key='k'))
             self.assertEqual(outcome, _ANSWER)
             self.assertNotEqual(self.fleet.ran()[0].call_id, 'never-sent')
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
     def test_paused_entry_finds_the_outcome_of_the_repeat(self) -> None:
-        """Guards against a run by an entry that resumes after a repeat."""
+        """Guards against a second run by an entry that was paused."""
         self.first.delays_s = [5]
 
-        async def body(entry: Entry, other: Entry) -> None:
+        async def scenario(entry: Entry, other: Entry) -> None:
             outcomes: list[Outcome] = []
 
             async def pausing() -> None:
@@ -242,13 +242,13 @@
                 )
             self.assertEqual(outcomes, [_ANSWER, _ANSWER])
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
     def test_paused_entry_does_not_run_what_was_called_not_run(self) -> None:
-        """Guards against a run after a lookup said "not run"."""
+        """Guards against a run after a look-up returned "not run"."""
         self.first.delays_s = [5]
 
-        async def body(entry: Entry, other: Entry) -> None:
+        async def scenario(entry: Entry, other: Entry) -> None:
             outcomes: list[Outcome | None] = []
 
             async def pausing() -> None:
@@ -262,15 +262,15 @@
             for outcome in outcomes:
                 self.assertIsInstance(outcome, NotRun)
 
-        with_entries(self.fleet, body)
+        run_with_entries(self.fleet, scenario)
         self.assertFalse(self.fleet.ran())
 
     def test_lookup_loses_against_a_repeat(self) -> None:
         """Guards against "not run" while a repeat runs the request."""
         self.first.settle_delays_s = [0, 0.3]
 
-        async def body(entry: Entry, other: Entry) -> None:
-            await self._claim_only(entry)
+        async def scenario(entry: Entry, other: Entry) -> None:
+            await self._create_claim(entry)
             outcomes: list[Outcome | None] = []
 
             async def look_up() -> None:
@@ -282,25 +282,25 @@
                 await other.dispatcher.serve(make_request(key='k'))
             self.assertEqual(outcomes, [_ANSWER])
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
     def test_lookup_of_an_outcome(self) -> None:
-        """Guards against a lookup that guesses or runs anything."""
+        """Guards against a look-up that guesses an outcome or runs a call."""
 
-        async def body(entry: Entry, other: Entry) -> None:
+        async def scenario(entry: Entry, other: Entry) -> None:
             self.assertIsNone(await self._look_up(other, 'k'))
             await entry.dispatcher.serve(make_request(key='k'))
             self.assertEqual(await self._look_up(other, 'k'), _ANSWER)
             self.fleet.store.is_down = True
             self.assertIsInstance(await self._look_up(other, 'k'), Unknown)
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
     def test_entry_dies_while_the_call_runs(self) -> None:
         """Guards against a second run while the first still runs."""
         self.first.run_s = 5
 
-        async def body(entry: Entry, other: Entry) -> None:
+        async def scenario(entry: Entry, other: Entry) -> None:
             with trio.move_on_after(0.5):
                 await entry.dispatcher.serve(
                     make_request(key='k', timeout_s=10),
@@ -310,24 +310,24 @@
                 outcome,
                 Unknown(Reason.DEADLINE, 'the call still runs', 'k'),
             )
-            self.assertEqual(len(self.fleet.lent), 1)
+            self.assertEqual(len(self.fleet.permits_in_use), 1)
             self.first.finish(self.first.ran[0])
             outcome = await other.dispatcher.serve(make_request(key='k'))
             self.assertEqual(outcome, _ANSWER)
             await trio.sleep(10)
-            self.assertFalse(self.fleet.lent)
+            self.assertFalse(self.fleet.permits_in_use)
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
     def test_repeats_at_both_entries_at_once(self) -> None:
-        """Guards against a race between an entry and a repeat."""
+        """Guards against a second run when repeats race at two entries."""
 
-        async def body(entry: Entry, other: Entry) -> None:
+        async def scenario(entry: Entry, other: Entry) -> None:
             outcomes = []
 
-            async def serve(dispatching: Entry) -> None:
+            async def serve(serving_entry: Entry) -> None:
                 outcomes.append(
-                    await dispatching.dispatcher.serve(make_request(key='k')),
+                    await serving_entry.dispatcher.serve(make_request(key='k')),
                 )
 
             async with trio.open_nursery() as nursery:
@@ -337,65 +337,65 @@
             self.assertEqual(len(outcomes), 10)
             self.assertEqual(set(outcomes), {_ANSWER})
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
 
 class ClaimedFaultTests(_ClaimedCase):
-    """Guards against guesses where the store or a worker fails."""
+    """Guards against guessed outcomes when the store or a worker fails."""
 
     def test_lost_store_answer(self) -> None:
-        """Guards against an entry that takes its own claim for another's."""
+        """Guards against an entry that mistakes its own claim for another."""
         self.fleet.store.answers_to_lose = 2
 
-        async def body(entry: Entry, _other: Entry) -> None:
+        async def scenario(entry: Entry, _other: Entry) -> None:
             outcome = await entry.dispatcher.serve(make_request(key='k'))
             self.assertEqual(outcome, _ANSWER)
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
     def test_first_attempt_in_an_outage_is_not_run(self) -> None:
         """Guards against a run without a claim."""
         self.fleet.store.is_down = True
 
-        async def body(entry: Entry, _other: Entry) -> None:
+        async def scenario(entry: Entry, _other: Entry) -> None:
             outcome = await entry.dispatcher.serve(
                 make_request(key='k', is_first_attempt=True),
             )
             assert isinstance(outcome, NotRun)
             self.assertIs(outcome.reason, Reason.STORE_UNAVAILABLE)
             self.assertIsNotNone(outcome.retry_after_s)
-            self.assertFalse(self.fleet.ran() or self.fleet.lent)
+            self.assertFalse(self.fleet.ran() or self.fleet.permits_in_use)
 
-        with_entries(self.fleet, body)
+        run_with_entries(self.fleet, scenario)
 
     def test_repeat_in_an_outage_is_unknown(self) -> None:
-        """Guards against "not run" for what ran at another entry."""
+        """Guards against "not run" for a request that ran at another entry."""
 
-        async def body(entry: Entry, other: Entry) -> None:
+        async def scenario(entry: Entry, other: Entry) -> None:
             await entry.dispatcher.serve(make_request(key='k'))
             self.fleet.store.is_down = True
             for has_capacity in (True, False):
                 self.fleet.has_capacity = has_capacity
                 outcome = await other.dispatcher.serve(make_request(key='k'))
-                self._is_unknown(outcome, Reason.STORE_UNAVAILABLE)
+                self._assert_unknown(outcome, Reason.STORE_UNAVAILABLE)
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
     def test_repeat_at_a_slow_store_is_unknown(self) -> None:
-        """Guards against "not run" when the deadline ends the claim."""
+        """Guards against "not run" when claiming exceeds the deadline."""
 
-        async def body(entry: Entry, other: Entry) -> None:
+        async def scenario(entry: Entry, other: Entry) -> None:
             await entry.dispatcher.serve(make_request(key='k'))
             await entry.claims.drained()
             self.fleet.store.delay_s = 30
             for has_capacity in (True, False):
                 self.fleet.has_capacity = has_capacity
                 outcome = await other.dispatcher.serve(make_request(key='k'))
-                self._is_unknown(outcome, Reason.DEADLINE)
+                self._assert_unknown(outcome, Reason.DEADLINE)
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
-    def _is_unknown(self, outcome: Outcome, reason: Reason) -> None:
+    def _assert_unknown(self, outcome: Outcome, reason: Reason) -> None:
         assert isinstance(outcome, Unknown)
         self.assertIs(outcome.reason, reason)
         self.assertEqual(outcome.outcome_key, 'k')
@@ -404,67 +404,67 @@
         """Guards against a refusal that ends a request too early."""
         self.first.refusal = WorkerRefusal.REVOKED_GRANT
 
-        async def body(entry: Entry, _other: Entry) -> None:
+        async def scenario(entry: Entry, _other: Entry) -> None:
             outcome = await entry.dispatcher.serve(make_request(key='k'))
             self.assertEqual(outcome, _ANSWER)
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
     def test_not_run_withdraws_the_claim(self) -> None:
         """Guards against a later run after the answer "not run"."""
         self.first.refusal = WorkerRefusal.FULL
         self.second.refusal = WorkerRefusal.FULL
 
-        async def body(entry: Entry, _other: Entry) -> None:
+        async def scenario(entry: Entry, _other: Entry) -> None:
             outcome = await entry.dispatcher.serve(make_request(key='k'))
             self.assertIsInstance(outcome, NotRun)
             self.assertFalse(self.fleet.store.state.below('/once/'))
-            self.assertFalse(self.fleet.lent)
+            self.assertFalse(self.fleet.permits_in_use)
 
-        with_entries(self.fleet, body)
+        run_with_entries(self.fleet, scenario)
 
     def test_repeat_without_capacity_is_not_called_not_run(self) -> None:
         """Guards against "not run" for a request that ran before."""
 
-        async def body(entry: Entry, other: Entry) -> None:
+        async def scenario(entry: Entry, other: Entry) -> None:
             await entry.dispatcher.serve(make_request(key='k'))
             self.fleet.has_capacity = False
             outcome = await other.dispatcher.serve(make_request(key='k'))
             self.assertEqual(outcome, _ANSWER)
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
     def test_unreachable_worker_leaves_it_unknown(self) -> None:
         """Guards against a guess about a call on a lost worker."""
-        self.first.cut = True
+        self.first.cuts_answers = True
         self.first.is_unreachable = True
 
-        async def body(entry: Entry, other: Entry) -> None:
-            for dispatching in (entry, other):
-                outcome = await dispatching.dispatcher.serve(
+        async def scenario(entry: Entry, other: Entry) -> None:
+            for serving_entry in (entry, other):
+                outcome = await serving_entry.dispatcher.serve(
                     make_request(key='k'),
                 )
                 assert isinstance(outcome, Unknown)
                 self.assertEqual(outcome.outcome_key, 'k')
-            self.assertEqual(len(self.fleet.lent), 1)
+            self.assertEqual(len(self.fleet.permits_in_use), 1)
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
 
 class RestartTests(_ClaimedCase):
-    """Guards against proofs by a worker that forgot its calls."""
+    """Guards against trust in a restarted worker, which lost its calls."""
 
     def test_restart_after_the_run_leaves_it_unknown(self) -> None:
         """Guards against a second run after a lost answer."""
-        self.first.cut = True
+        self.first.cuts_answers = True
         self.first.is_unreachable = True
 
-        async def body(entry: Entry, other: Entry) -> None:
+        async def scenario(entry: Entry, other: Entry) -> None:
             await entry.dispatcher.serve(make_request(key='k'))
             self.first.restart()
             self.first.is_unreachable = False
-            for dispatching in (entry, other):
-                outcome = await dispatching.dispatcher.serve(
+            for serving_entry in (entry, other):
+                outcome = await serving_entry.dispatcher.serve(
                     make_request(key='k'),
                 )
                 assert isinstance(outcome, Unknown)
@@ -472,33 +472,33 @@
             self.assertIsInstance(await self._look_up(other, 'k'), Unknown)
             # The process that held the slot is gone.
             await trio.sleep(5)
-            self.assertFalse(self.fleet.lent)
+            self.assertFalse(self.fleet.permits_in_use)
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
     def test_restart_before_the_call_arrives(self) -> None:
-        """Guards against a run by a process that the claim doesn't name."""
+        """Guards against a run by an incarnation other than the claimed one."""
         self.first.delays_s = [0.2]
 
-        async def body(entry: Entry, _other: Entry) -> None:
+        async def scenario(entry: Entry, _other: Entry) -> None:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._serve_whole, entry)
+                nursery.start_soon(self._assert_answered, entry)
                 await trio.sleep(0.1)
                 self.first.restart()
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
         self.assertEqual(len(self.second.ran), 1)
 
     def test_worker_without_incarnation_is_avoided(self) -> None:
         """Guards against a claim that no worker can settle."""
         self.first.is_down = True
 
-        async def body(entry: Entry, _other: Entry) -> None:
-            await self._serve_whole(entry)
-            self.assertFalse(self.fleet.lent)
+        async def scenario(entry: Entry, _other: Entry) -> None:
+            await self._assert_answered(entry)
+            self.assertFalse(self.fleet.permits_in_use)
 
-        self._runs_once(body)
+        self._assert_runs_once(scenario)
 
-    async def _serve_whole(self, entry: Entry) -> None:
+    async def _assert_answered(self, entry: Entry) -> None:
         outcome = await entry.dispatcher.serve(make_request(key='k'))
         self.assertEqual(outcome, _ANSWER)
--- a/tests/service/test_dispatch_live.py
+++ b/tests/service/test_dispatch_live.py
@@ -1,4 +1,4 @@
-"""The dispatcher over HTTP with real stand-ins on loopback."""
+"""The dispatcher over HTTP with stand-in workers on loopback."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 _FAULTS = Faults(cut_answers_share=0.2, cross_answers_share=0.2)
 
 
-class _Loopback:
-    """Stand-ins with four permits each."""
+class _LoopbackWorkers:
+    """Stand-in workers with four permits each."""
 
     def __init__(self) -> None:
         self.servers: dict[WorkerId, WorkerServer] = {}
@@ -63,10 +63,10 @@
     async def acquire(
         self,
         request: ServiceRequest,
-        avoided: frozenset[WorkerId],
+        excluded: frozenset[WorkerId],
     ) -> Permit | NotRun:
         while time.monotonic() < request.deadline_s:
-            permit = self.acquire_idle(request, avoided)
+            permit = self.acquire_idle(request, excluded)
             if permit is not None:
                 return permit
             await trio.sleep(0.001)
@@ -75,15 +75,15 @@
     def acquire_idle(
         self,
         _request: ServiceRequest,
-        avoided: frozenset[WorkerId],
+        excluded: frozenset[WorkerId],
     ) -> Permit | None:
         for permit in self.free:
-            if permit.worker_id not in avoided:
+            if permit.worker_id not in excluded:
                 self.free.remove(permit)
                 return permit
         return None
 
-    async def settled(self) -> None:
+    async def wait_until_settled(self) -> None:
         """Wait until every permit is free again."""
         while len(self.free) < 4 * len(self.agents):
             await trio.sleep(0.01)
@@ -127,15 +127,15 @@
 
 
 class LiveDispatchTests(unittest.TestCase):
-    """Guards against faults that only the real transport shows."""
+    """Guards against faults that occur only on a real transport."""
 
-    def test_faults_on_the_way(self) -> None:
+    def test_faulty_connections(self) -> None:
         """Guards against wrong answers, second runs and lost permits.
 
-        Three workers cut, cross and lose answers; one of them fails
-        everything that it starts.
+        Three workers truncate, swap and lose answers; one of them fails every
+        call.
         """
-        net = _Loopback()
+        workers = _LoopbackWorkers()
         outcomes: dict[str, Outcome] = {}
 
         async def serve(dispatcher: Dispatcher, number: int) -> None:
@@ -164,23 +164,25 @@
         async def main() -> None:
             async with trio.open_nursery() as nursery:
                 for name in ('w1', 'w2', 'w3'):
-                    await net.start(nursery, name)
-                    net.servers[WorkerId(name)].apply_faults(_FAULTS)
-                net.servers[WorkerId('w3')].apply_faults(
+                    await workers.start(nursery, name)
+                    workers.servers[WorkerId(name)].apply_faults(_FAULTS)
+                workers.servers[WorkerId('w3')].apply_faults(
                     Faults(black_hole=True),
                 )
                 with trio.fail_after(60):
-                    await serve_all(net.dispatcher(nursery))
-                    await net.settled()
+                    await serve_all(workers.dispatcher(nursery))
+                    await workers.wait_until_settled()
                 nursery.cancel_scope.cancel()
 
         trio.run(main)
-        self._check(net, outcomes)
+        self._assert_consistent(workers, outcomes)
 
-    def _check(self, net: _Loopback, outcomes: dict[str, Outcome]) -> None:
+    def _assert_consistent(
+        self, workers: _LoopbackWorkers, outcomes: dict[str, Outcome]
+    ) -> None:
         self.assertEqual(len(outcomes), _REQUESTS_COUNT)
         runs: Counter[str] = Counter()
-        for server in net.servers.values():
+        for server in workers.servers.values():
             history = server.state.history
             self.assertLessEqual(history.peak_slots_count, 4)
             self.assertLessEqual(history.peak_connections_count, 5)
--- a/tests/service/test_http_api.py
+++ b/tests/service/test_http_api.py
@@ -1,4 +1,4 @@
-"""HTTP interface: outcomes map to the documented statuses and bodies."""
+"""HTTP API: outcomes map to the documented statuses and bodies."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 from marjoramwharf.settings import ServiceSettings
 
 _URL = '/v1/services/notice'
-_SAFE = {'X-Idempotent': 'true'}
+_IDEMPOTENT = {'X-Idempotent': 'true'}
 
 
 class HttpApiTests(unittest.TestCase):
-    """Guards against statuses that hide whether the work ran."""
+    """Guards against statuses that do not show whether the request ran."""
 
     def setUp(self) -> None:
         """Build an application around a fixed outcome."""
         self.outcome: Outcome = Done(200, 'text/plain', b'whole')
         self.gate = DrainGate()
-        self.seen: list[ServiceRequest] = []
+        self.requests: list[ServiceRequest] = []
         self.app = QuartTrio('test')
         self.app.register_blueprint(
             service_blueprint(
@@ -55,33 +55,33 @@
         )
 
     def test_done_passes_the_answer_on(self) -> None:
-        """Guards against a changed answer."""
-        status, body, _headers = self._post(_SAFE)
+        """Guards against an answer that is changed on its way to the caller."""
+        status, body, _headers = self._post(_IDEMPOTENT)
         self.assertEqual((status, body), (200, b'whole'))
-        self.assertEqual(self.seen[0].deadline_s, 102)
+        self.assertEqual(self.requests[0].deadline_s, 102)
 
     def test_first_attempt_is_declared_by_a_header(self) -> None:
-        """Guards against a proof that the caller did not give."""
-        self._post(_SAFE)
-        self._post({**_SAFE, 'X-First-Attempt': 'true'})
-        declared = [request.is_first_attempt for request in self.seen]
+        """Guards against a first attempt that the caller did not declare."""
+        self._post(_IDEMPOTENT)
+        self._post({**_IDEMPOTENT, 'X-First-Attempt': 'true'})
+        declared = [request.is_first_attempt for request in self.requests]
         self.assertEqual(declared, [False, True])
 
     def test_log_lines_carry_the_request_id(self) -> None:
-        """Guards against log lines that no request can be found by."""
-        self._post({**_SAFE, 'X-Request-Id': 'r-7'})
+        """Guards against log lines without the request id."""
+        self._post({**_IDEMPOTENT, 'X-Request-Id': 'r-7'})
         self.assertEqual(self.log_context, {'request_id': 'r-7'})
 
     def test_not_run_has_reason_and_retry_after(self) -> None:
-        """Guards against a refusal without a hint when to come back."""
+        """Guards against a refusal that does not say when to retry."""
         self.outcome = NotRun(Reason.QUEUE_FULL, 'full', 1.5)
-        status, body, headers = self._post(_SAFE)
+        status, body, headers = self._post(_IDEMPOTENT)
         self.assertEqual(status, 429)
         self.assertEqual(headers['Retry-After'], '2')
         self.assertEqual(json.loads(body)['outcome'], 'not_run')
 
-    def test_unknown_says_where_to_ask(self) -> None:
-        """Guards against an unknown outcome taken for a refusal."""
+    def test_unknown_has_the_location_of_the_outcome(self) -> None:
+        """Guards against an unknown outcome that reads as a refusal."""
         self.outcome = Unknown(Reason.ANSWER_CUT, 'cut', 'k1')
         status, body, headers = self._post({'Idempotency-Key': 'k1'})
         self.assertEqual(status, 202)
@@ -92,19 +92,19 @@
         """Guards against a non-idempotent request without a key."""
         for headers in (
             {},
-            {**_SAFE, 'X-Timeout-Ms': 'soon'},
-            {**_SAFE, 'X-Timeout-Ms': '0'},
-            {**_SAFE, 'X-Priority': 'top'},
+            {**_IDEMPOTENT, 'X-Timeout-Ms': 'soon'},
+            {**_IDEMPOTENT, 'X-Timeout-Ms': '0'},
+            {**_IDEMPOTENT, 'X-Priority': 'top'},
             {'Idempotency-Key': 'k' * 200},
         ):
             status, _body, _headers = self._post(headers)
             self.assertEqual(status, 400)
-        self.assertEqual(self.seen, [])
+        self.assertEqual(self.requests, [])
 
     def test_refusing_gate_proves_not_run(self) -> None:
         """Guards against work that is accepted during a shutdown."""
         self.gate.state = DrainState.REFUSING
-        status, body, _headers = self._post(_SAFE)
+        status, body, _headers = self._post(_IDEMPOTENT)
         self.assertEqual(status, 503)
         self.assertEqual(json.loads(body)['reason'], 'shutting_down')
 
@@ -120,7 +120,7 @@
         self.assertEqual(self._post(first)[0], 503)
 
     async def _serve(self, request: ServiceRequest) -> Outcome:
-        self.seen.append(request)
+        self.requests.append(request)
         self.log_context = structlog.contextvars.get_contextvars()
         return self.outcome
 
@@ -147,12 +147,12 @@
     """Guards against a shutdown that cuts requests in flight."""
 
     def test_drain_waits_for_requests_in_flight(self) -> None:
-        """Guards against a stop before the last answer."""
+        """Guards against a shutdown before the last answer."""
 
         async def scenario() -> None:
             gate = DrainGate()
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._pass_slowly, gate)
+                nursery.start_soon(self._serve_slowly, gate)
                 await trio.sleep(0)
                 is_empty = await gate.drain(grace_s=0, timeout_s=60)
                 self.assertTrue(is_empty)
@@ -161,7 +161,7 @@
         self.is_answered = False
         trio.run(scenario)
 
-    async def _pass_slowly(self, gate: DrainGate) -> None:
+    async def _serve_slowly(self, gate: DrainGate) -> None:
         with gate.track_request():
             await trio.sleep(0.05)
             self.is_answered = True
--- a/tests/service/test_limits.py
+++ b/tests/service/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the request path that the configuration in force sets."""
+"""Queue limits, quotas and fair shares of a configuration."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class LimitsTests(unittest.TestCase):
-    """Guards against teams that exceed what a release note gives them."""
+    """Guards against teams that exceed the quotas of a release note."""
 
     def test_quota_ends(self) -> None:
         """Guards against a temporary quota that stays in force."""
@@ -45,7 +45,7 @@
         self.assertEqual(bounds, [TeamBounds(2, 3), TeamBounds(None, 1)])
 
     def test_each_queue_limit_refuses(self) -> None:
-        """Guards against a limit that is not looked at."""
+        """Guards against a limit that is not checked."""
         for usage, expected in (
             (Usage(0, 3, 2, 1), None),
             (Usage(0, 4, 0, 0), Reason.QUEUE_FULL),
@@ -56,7 +56,7 @@
                 self.assertIs(check_queue_limits(_LIMITS, usage), expected)
 
     def test_quota_bounds_running_requests(self) -> None:
-        """Guards against one request too many."""
+        """Guards against more running requests than the quota allows."""
         bounds = TeamBounds(2, 1)
         self.assertTrue(may_start(bounds, Usage(1, 0, 0, 0)))
         self.assertFalse(may_start(bounds, Usage(2, 0, 0, 0)))
--- a/tests/service/test_retry.py
+++ b/tests/service/test_retry.py
@@ -1,4 +1,4 @@
-"""Rules for retries: what may be repeated, and how often."""
+"""Retry policy: which calls are retried, and how often."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
 
 
 class RetryTests(unittest.TestCase):
-    """Guards against second runs and against storms of retries."""
+    """Guards against second runs and against retry storms."""
 
     @settings(derandomize=True, deadline=None)
     @given(outcome=_OUTCOMES, attempts_count=st.integers(1, 10))
-    def test_other_requests_are_retried_only_if_not_run(
+    def test_non_idempotent_requests_are_retried_only_if_refused(
         self,
         outcome: CallOutcome,
         attempts_count: int,
@@ -65,9 +65,9 @@
         self,
         outcomes: list[CallOutcome],
     ) -> None:
-        """Guards against retries that multiply the load of an overload."""
+        """Guards against retries that amplify an overload."""
         policy = _policy()
-        paid_count = 0
+        spent_count = 0
         for outcome in outcomes:
             policy.budget.record_request(0)
             if policy.may_retry(
@@ -76,21 +76,21 @@
                 attempts_count=1,
                 now_s=0,
             ):
-                paid_count += not isinstance(outcome, CallRefused)
+                spent_count += not isinstance(outcome, CallRefused)
                 self.assertFalse(
                     isinstance(outcome, CallAnswer) and outcome.status < 500,
                 )
-        self.assertLessEqual(paid_count, 1 + len(outcomes) * 0.1)
+        self.assertLessEqual(spent_count, 1 + len(outcomes) * 0.1)
 
     @settings(derandomize=True, deadline=None)
     @given(attempts_count=st.integers(1, 1_000), seed=st.integers())
     def test_backoff_is_bounded(self, attempts_count: int, seed: int) -> None:
-        """Guards against pauses beyond a request's deadline."""
+        """Guards against backoffs that exceed a request's deadline."""
         pause_s = backoff_s(attempts_count, random.Random(seed))
         self.assertTrue(0 <= pause_s <= 0.25)
 
     def test_no_budget_without_a_share(self) -> None:
-        """Guards against retries that the settings turned off."""
+        """Guards against retries although the settings turn them off."""
         budget = RetryBudget(0, now_s=0)
         budget.try_spend(0)
         self.assertFalse(budget.try_spend(10_000))
--- a/tests/service/test_router.py
+++ b/tests/service/test_router.py
@@ -1,4 +1,4 @@
-"""Router: slow workers are avoided before and after their answers."""
+"""Router: slow workers are avoided, even before their first answer."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class _Permits:
-    """Any number of permits of two workers."""
+    """An unlimited supply of permits of two workers."""
 
     def __init__(self) -> None:
         self._serial = 0
@@ -39,7 +39,7 @@
 
 
 class RouterTests(unittest.TestCase):
-    """Guards against load that is sent to slow workers."""
+    """Guards against requests that are routed to slow workers."""
 
     def setUp(self) -> None:
         """Build a router for two workers that are equally near."""
@@ -52,27 +52,27 @@
         )
 
     def test_slow_answers_are_remembered(self) -> None:
-        """Guards against more requests to a worker that was slow."""
+        """Guards against more requests to a worker that answered slowly."""
         self.latencies.observe(_SERVICE, _FIRST, 400, 0)
         self.latencies.observe(_SERVICE, _SECOND, 10, 0)
-        self.assertEqual(self._chosen(0.1), _SECOND)
+        self.assertEqual(self._choose(0.1), _SECOND)
 
-    def test_call_under_way_shows_a_slow_worker(self) -> None:
-        """Guards against load during the time of the first slow answer."""
+    def test_call_in_flight_shows_a_slow_worker(self) -> None:
+        """Guards against more requests while a slow call is in flight."""
         first = self.router.choose(_SERVICE, frozenset((_SECOND,)), 0)
         assert first is not None
-        self.assertEqual(self._chosen(0.5), _SECOND)
+        self.assertEqual(self._choose(0.5), _SECOND)
         self.router.record_call_end(first)
 
     def test_stopped_call_shows_a_slow_worker(self) -> None:
-        """Guards against hedges that hide the slow worker."""
+        """Guards against hedged calls that hide a slow worker."""
         self.latencies.observe_lower_bound(_SERVICE, _FIRST, 900, 0)
-        self.assertEqual(self._chosen(0.1), _SECOND)
+        self.assertEqual(self._choose(0.1), _SECOND)
         self.latencies.observe_lower_bound(_SERVICE, _SECOND, 1, 0)
-        self.assertEqual(self._chosen(0.1), _SECOND)
+        self.assertEqual(self._choose(0.1), _SECOND)
 
     def test_slow_worker_is_tried_again(self) -> None:
-        """Guards against a worker that is avoided for ever."""
+        """Guards against a worker that is avoided forever."""
         self.latencies.observe(_SERVICE, _FIRST, 400, 0)
         later_ms = self.latencies.predict_ms(_SERVICE, _FIRST, 60)
         self.assertAlmostEqual(later_ms, self.latencies.mean_ms(_SERVICE))
@@ -82,15 +82,15 @@
         both = frozenset((_FIRST, _SECOND))
         self.assertIsNone(self.router.choose(_SERVICE, both, 0))
 
-    def test_simple_rules(self) -> None:
-        """Guards against baselines that do not do what they say."""
+    def test_simple_routing_policies(self) -> None:
+        """Guards against wrong round-robin and least-loaded routing."""
         self.router.routing = Routing.ROUND_ROBIN
-        self.assertNotEqual(self._chosen(0), self._chosen(0))
+        self.assertNotEqual(self._choose(0), self._choose(0))
         self.router.routing = Routing.LEAST_LOADED
         self.router.choose(_SERVICE, frozenset((_SECOND,)), 0)
-        self.assertEqual(self._chosen(0), _SECOND)
+        self.assertEqual(self._choose(0), _SECOND)
 
-    def _chosen(self, now_s: float) -> WorkerId:
+    def _choose(self, now_s: float) -> WorkerId:
         permit = self.router.choose(_SERVICE, frozenset(), now_s)
         assert permit is not None
         return permit.worker_id
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -26,7 +26,7 @@
 from marjoramwharf.machines.agent import HttpWorkerAgent
 from marjoramwharf.machines.calls import WorkerAgent
 from marjoramwharf.service.request import Done, NotRun, ServiceRequest
-from tests.service.fakes import Entry, Fleet, make_request, with_entries
+from tests.service.fakes import Entry, Fleet, make_request, run_with_entries
 
 _SECRET = 'a-secret-of-16-bytes'
 
@@ -48,11 +48,11 @@
     async def acquire(
         self,
         request: ServiceRequest,
-        avoided: frozenset[WorkerId],
+        excluded: frozenset[WorkerId],
     ) -> Permit | NotRun:
         assert self.client is not None
         await self.client.call(ttypes.NoteHint(revision=1), timeout_s=1)
-        return await super().acquire(request, avoided)
+        return await super().acquire(request, excluded)
 
     def get_agent(self, worker_id: WorkerId) -> WorkerAgent:
         return self._agent
@@ -82,7 +82,7 @@
         tracer = provider.get_tracer('test')
         fleet = _RemoteFleet()
         with patch('marjoramwharf.tracing._TRACER', tracer):
-            with_entries(fleet, lambda entry, _other: _serve(fleet, entry))
+            run_with_entries(fleet, lambda entry, _other: _serve(fleet, entry))
         spans = {_name(span): span for span in exporter.get_finished_spans()}
         parents = {
             name: _parent_name(span, spans) for name, span in spans.items()
