--- a/src/marjoramwharf/machines/agent_pool.py
+++ b/src/marjoramwharf/machines/agent_pool.py
@@ -36,7 +36,9 @@
         if cached is not None and (worker is None or worker.url == cached[0]):
             return cached[1]
         if worker is None:
-            raise WorkerUnreachable(message=f'worker {worker_id} is not listed')
+            raise WorkerUnreachable(
+                message=f'{worker_id} is not a listed worker'
+            )
         agent = HttpWorkerAgent(
             worker.url,
             self._entry_id,
