--- a/src/marjoramwharf/contracts/lending.py
+++ b/src/marjoramwharf/contracts/lending.py
@@ -89,7 +89,7 @@
 class CapacityManager:
     """Manages the ledgers of the owned workers and the entry's permit pool.
 
-    ``agent_of`` returns the client of a worker's agent, ``now`` the present
+    ``get_agent`` returns the client of a worker's agent, ``now`` the present
     time in monotonic seconds. Set ``heartbeats.on_lease`` and
     ``heartbeats.on_superseded`` to follow the replies of the workers, and
     ``borrower.close_connections`` to close idle connections to a worker.
@@ -103,7 +103,7 @@
         permit_pool: PermitPool,
         *,
         allocator: CapacityAllocator,
-        agent_of: Callable[[WorkerId], WorkerAgent],
+        get_agent: Callable[[WorkerId], WorkerAgent],
         peers: Callable[[], Mapping[EntryId, PeerCaller]],
         rng: random.Random,
         now: Callable[[], float] = trio.current_time,
@@ -113,7 +113,7 @@
         self.permit_pool = permit_pool
         self._identity = identity
         self._settings = settings
-        self.heartbeats = Heartbeats(allocator, settings, agent_of, now)
+        self.heartbeats = Heartbeats(allocator, settings, get_agent, now)
         self.heartbeats.on_leaving = self._notify_borrowers
         self._peers = peers
         self._rng = rng
--- a/src/marjoramwharf/machines/agent_messages.py
+++ b/src/marjoramwharf/machines/agent_messages.py
@@ -1,4 +1,4 @@
-"""Bodies and headers of the worker agent's contract, beside those of calls."""
+"""Bodies and headers of the worker agent's HTTP API, except those of calls."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 EXPECTED_INCARNATION_HEADER = 'X-Expected-Incarnation'
 
 
-class Refused(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Body of a refusal; it proves that nothing was run or started."""
+class RefusalReply(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Body of a refusal; the call did not run or the task did not start."""
 
     refused: WorkerRefusal
 
 
-class LeaseCall(msgspec.Struct, frozen=True):
-    """Body of a heartbeat that fences and extends a worker's lease."""
+class LeaseRequest(msgspec.Struct, frozen=True):
+    """Body of a heartbeat that fences old epochs and extends the lease."""
 
     epoch: Epoch
     owner: EntryId
@@ -26,14 +26,14 @@
     lease_ms: int
 
 
-class StopCall(msgspec.Struct, frozen=True):
+class StopRequest(msgspec.Struct, frozen=True):
     """Body of a request to stop one attempt of a task."""
 
     fence: tuple[int, int]
     with_checkpoint: bool
 
 
-class ThrottleCall(msgspec.Struct, frozen=True):
-    """Body of a request to limit a task's processors; 0 to 1."""
+class ThrottleRequest(msgspec.Struct, frozen=True):
+    """Body of a request to limit a task to a share, 0 to 1, of its CPUs."""
 
     cpu_share: float
--- a/tests/contracts/test_lending.py
+++ b/tests/contracts/test_lending.py
@@ -125,7 +125,7 @@
             CapacitySettings(),
             make_permit_pool(),
             allocator=CapacityAllocator(),
-            agent_of=lambda _worker_id: self.agent,  # type: ignore[arg-type, return-value]
+            get_agent=lambda _worker_id: self.agent,  # type: ignore[arg-type, return-value]
             peers=lambda: peers,
             rng=random.Random(1),
         )
--- a/tests/service/test_admission.py
+++ b/tests/service/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: permits reach the right request, and refusals are timely."""
+"""Admission: permits reach the right request, refusals come in time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     WorkerId,
 )
 from marjoramwharf.service.admission import Admission
-from marjoramwharf.service.admission_queue import AdmissionQueue, Waiting
+from marjoramwharf.service.admission_queue import AdmissionQueue, QueuedRequest
 from marjoramwharf.service.request import NotRun, Priority, ServiceRequest
 
 _SERVICE = ServiceId('notice')
@@ -76,19 +76,19 @@
     queue: AdmissionQueue,
     request: ServiceRequest,
     *,
-    drain_per_s: float = 0,
+    release_rate_per_s: float = 0,
 ) -> list[Reason]:
     shed = queue.offer(
-        Waiting(request),
+        QueuedRequest(request),
         now_s=0,
         service_time_s=1,
-        drain_per_s=drain_per_s,
+        release_rate_per_s=release_rate_per_s,
     )
     return [dropped.answer.reason for dropped in shed]
 
 
 class AdmissionTests(unittest.TestCase):
-    """Guards against lost permits and requests that wait for ever."""
+    """Guards against lost permits and requests that wait forever."""
 
     def test_waiting_request_gets_the_released_permit(self) -> None:
         """Guards against a queue that is not served on a release."""
@@ -102,7 +102,7 @@
                 nursery.start_soon(self._acquire_expecting_permit, admission)
                 await wait_all_tasks_blocked()
                 pool.free.append(held)
-                admission.released()
+                admission.on_permit_released()
 
         trio.run(scenario, clock=MockClock(autojump_threshold=0))
 
@@ -132,7 +132,7 @@
                 await wait_all_tasks_blocked()
                 nursery.cancel_scope.cancel()
                 pool.free.append(held)
-                admission.released()
+                admission.on_permit_released()
             self.assertEqual(pool.free, [held])
 
         trio.run(scenario, clock=MockClock(autojump_threshold=0))
@@ -143,10 +143,10 @@
 
 
 class QueueTests(unittest.TestCase):
-    """Guards against unfair order and against work that is wasted."""
+    """Guards against unfair order and against work on hopeless requests."""
 
     def test_full_queue_sheds_the_lowest_priority(self) -> None:
-        """Guards against an urgent request refused for a minor one."""
+        """Guards against shedding a high priority before a low one."""
         queue = AdmissionQueue(limit=2, team_share=1)
         _offer(queue, _request(priority=Priority.LOW))
         _offer(queue, _request(priority=Priority.HIGH))
@@ -158,11 +158,11 @@
         self.assertIs(popped.request.priority, Priority.HIGH)
 
     def test_hopeless_request_is_refused_at_once(self) -> None:
-        """Guards against queueing what can't meet its deadline."""
+        """Guards against queueing a request that can't meet its deadline."""
         queue = AdmissionQueue(limit=100, team_share=1)
         for _ in range(10):
             _offer(queue, _request())
-        seen = _offer(queue, _request(deadline_s=5), drain_per_s=2)
+        seen = _offer(queue, _request(deadline_s=5), release_rate_per_s=2)
         self.assertEqual(seen, [Reason.DEADLINE])
 
     def test_one_team_can_not_fill_the_queue(self) -> None:
--- a/tests/service/test_limits.py
+++ b/tests/service/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the request path that the configuration in force sets."""
+"""Queue limits, quotas and fair shares of a configuration."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from marjoramwharf.service.limits import (
     TeamBounds,
     Usage,
-    fair_shares,
+    build_request_limits,
+    check_queue_limits,
+    compute_fair_shares,
+    get_team_bounds,
     may_start,
-    queue_refusal,
-    request_limits,
-    team_bounds,
 )
 
 _SERVICE = ServiceId('s')
-_LIMITS = request_limits(
+_LIMITS = build_request_limits(
     Configuration(
         revision=3,
         limits=Limits(queue_count=4, team_count=3, caller_count=2),
@@ -34,18 +34,18 @@
 
 
 class LimitsTests(unittest.TestCase):
-    """Guards against teams that exceed what a release note gives them."""
+    """Guards against teams that exceed the quotas of a release note."""
 
     def test_quota_ends(self) -> None:
         """Guards against a temporary quota that stays in force."""
         bounds = [
-            team_bounds(_LIMITS, TeamId('a'), _SERVICE, now_ms=now_ms)
+            get_team_bounds(_LIMITS, TeamId('a'), _SERVICE, now_ms=now_ms)
             for now_ms in (999, 1000)
         ]
         self.assertEqual(bounds, [TeamBounds(2, 3), TeamBounds(None, 1)])
 
     def test_each_queue_limit_refuses(self) -> None:
-        """Guards against a limit that is not looked at."""
+        """Guards against a limit that is not checked."""
         for usage, expected in (
             (Usage(0, 3, 2, 1), None),
             (Usage(0, 4, 0, 0), Reason.QUEUE_FULL),
@@ -53,17 +53,17 @@
             (Usage(0, 3, 2, 2), Reason.TEAM_LIMIT),
         ):
             with self.subTest(usage=usage):
-                self.assertIs(queue_refusal(_LIMITS, usage), expected)
+                self.assertIs(check_queue_limits(_LIMITS, usage), expected)
 
     def test_quota_bounds_running_requests(self) -> None:
-        """Guards against one request too many."""
+        """Guards against more running requests than the quota allows."""
         bounds = TeamBounds(2, 1)
         self.assertTrue(may_start(bounds, Usage(1, 0, 0, 0)))
         self.assertFalse(may_start(bounds, Usage(2, 0, 0, 0)))
 
     def test_unused_share_goes_to_others(self) -> None:
         """Guards against slots that stay idle while a team waits."""
-        shares = fair_shares(
+        shares = compute_fair_shares(
             _LIMITS,
             _SERVICE,
             {TeamId('a'): 9, TeamId('b'): 9, TeamId('c'): 9},
@@ -82,7 +82,7 @@
     )
     def test_shares_fit(self, demands: dict[TeamId, int], slots: int) -> None:
         """Guards against shares above the slots, a demand or a quota."""
-        shares = fair_shares(
+        shares = compute_fair_shares(
             _LIMITS,
             _SERVICE,
             demands,
