--- a/src/marjoramwharf/batch/capacity.py
+++ b/src/marjoramwharf/batch/capacity.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReservationAsk:
+class ReservationRequest:
     """A task that needs a worker.
 
     ``fence`` is the fence of the attempt if it starts. ``declared`` is the
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoRoom:
+class NoWorkerFound:
     """No worker was found.
 
     ``Reason.NEVER_FITS`` says that no known worker is large enough, even when
@@ -53,14 +53,14 @@
     reason: Reason = Reason.NO_CAPACITY
 
 
-class Capacity(Protocol):
+class CapacityClient(Protocol):
     """Reservations of worker capacity.
 
     Both methods may raise ``PeerUnreachable``. A reservation whose answer was
     lost is not used; its owner frees it when the worker reports no such task.
     """
 
-    async def reserve(self, ask: ReservationAsk) -> Reservation | NoRoom:
+    async def reserve(self, ask: ReservationRequest) -> Reservation | NoWorkerFound:
         """Find a worker and keep room for a task."""
 
     async def release(self, reservation_id: str) -> None:
--- a/src/marjoramwharf/batch/estimates.py
+++ b/src/marjoramwharf/batch/estimates.py
@@ -4,7 +4,7 @@
 to the declared size is kept as a histogram whose counts decay, so that old
 observations lose weight. The estimate is a high quantile of the ratio.
 
-    >>> ratio = RatioQuantile(half_life_s=3_600)
+    >>> ratio = DecayingHistogram(half_life_s=3_600)
     >>> ratio.observe(0.5, now_s=0)
     >>> 0.5 <= ratio.quantile(0.95, now_s=0) < 0.55
     True
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class RatioQuantile:
+class DecayingHistogram:
     """A decayed histogram of ratios between 0.01 and 100."""
 
     half_life_s: float
@@ -78,12 +78,12 @@
 
 
 @dataclass(slots=True)
-class SizeEstimates:
+class SizeEstimator:
     """Estimated sizes of tasks, by task class."""
 
     half_life_s: float = 3_600
-    _cpu: dict[str, RatioQuantile] = field(default_factory=dict)
-    _memory: dict[str, RatioQuantile] = field(default_factory=dict)
+    _cpu: dict[str, DecayingHistogram] = field(default_factory=dict)
+    _memory: dict[str, DecayingHistogram] = field(default_factory=dict)
 
     def observe(
         self,
@@ -136,7 +136,7 @@
 
     def _ratio(
         self,
-        ratios: dict[str, RatioQuantile],
+        ratios: dict[str, DecayingHistogram],
         task_class: str,
         now_s: float,
     ) -> float:
@@ -150,7 +150,7 @@
 
     def _of(
         self,
-        ratios: dict[str, RatioQuantile],
+        ratios: dict[str, DecayingHistogram],
         task_class: str,
-    ) -> RatioQuantile:
-        return ratios.setdefault(task_class, RatioQuantile(self.half_life_s))
+    ) -> DecayingHistogram:
+        return ratios.setdefault(task_class, DecayingHistogram(self.half_life_s))
--- a/src/marjoramwharf/batch/events.py
+++ b/src/marjoramwharf/batch/events.py
@@ -20,8 +20,8 @@
     Placement,
     Task,
     TaskState,
-    job_state,
-    may_change,
+    derive_job_state,
+    is_transition_allowed,
 )
 from marjoramwharf.errors import JournalDamaged, Reason
 from marjoramwharf.ids import JobId, TaskId, TeamId, WorkerId
@@ -121,12 +121,12 @@
         self.last_attempt = 0
         self.jobs: dict[JobId, Job] = {}
         self.tasks: dict[TaskId, Task] = {}
-        self.job_of_key: dict[tuple[TeamId, str], JobId] = {}
-        self.jobs_of_exclusive: dict[str, dict[JobId, None]] = {}
+        self.job_by_key: dict[tuple[TeamId, str], JobId] = {}
+        self.jobs_by_exclusive_key: dict[str, dict[JobId, None]] = {}
         self.waiting: dict[JobId, dict[TaskId, None]] = {}
         self.stopping: dict[TaskId, None] = {}
         self.held_by_worker: dict[WorkerId, dict[TaskId, None]] = {}
-        self.team_millicores: defaultdict[TeamId, int] = defaultdict(int)
+        self.placed_millicores_by_team: defaultdict[TeamId, int] = defaultdict(int)
 
     def tasks_of(self, job_id: JobId) -> Iterator[Task]:
         """Iterate over the tasks of a job, in their order."""
@@ -134,11 +134,11 @@
 
     def state_of(self, job_id: JobId) -> JobState:
         """Return the derived state of a job."""
-        return job_state({task.state for task in self.tasks_of(job_id)})
+        return derive_job_state({task.state for task in self.tasks_of(job_id)})
 
-    def holder_of(self, exclusive_key: str) -> JobId | None:
+    def find_key_holder(self, exclusive_key: str) -> JobId | None:
         """Return the started and open job of an exclusive key."""
-        for job_id in self.jobs_of_exclusive.get(exclusive_key, ()):
+        for job_id in self.jobs_by_exclusive_key.get(exclusive_key, ()):
             tasks = tuple(self.tasks_of(job_id))
             has_begun = any(task.attempt for task in tasks)
             if has_begun and any(_is_open(task) for task in tasks):
@@ -153,9 +153,9 @@
         if job is not None:
             self.jobs[job_id] = job
             spec = job.spec
-            self.job_of_key[spec.team, spec.idempotency_key] = job_id
+            self.job_by_key[spec.team, spec.idempotency_key] = job_id
             if spec.exclusive_key is not None:
-                same = self.jobs_of_exclusive.setdefault(
+                same = self.jobs_by_exclusive_key.setdefault(
                     spec.exclusive_key,
                     {},
                 )
@@ -175,7 +175,7 @@
             self._link_task(task)
         return former
 
-    def image(self) -> bytes:
+    def encode_snapshot(self) -> bytes:
         """Encode the state for a snapshot."""
         return msgpack.encode(
             StateImage(
@@ -187,12 +187,12 @@
 
     def _unlink_job(self, job: Job) -> None:
         spec = job.spec
-        self.job_of_key.pop((spec.team, spec.idempotency_key), None)
+        self.job_by_key.pop((spec.team, spec.idempotency_key), None)
         if spec.exclusive_key is not None:
-            same = self.jobs_of_exclusive[spec.exclusive_key]
+            same = self.jobs_by_exclusive_key[spec.exclusive_key]
             same.pop(job.job_id)
             if not same:
-                self.jobs_of_exclusive.pop(spec.exclusive_key)
+                self.jobs_by_exclusive_key.pop(spec.exclusive_key)
 
     def _link_task(self, task: Task) -> None:
         if task.state is TaskState.WAITING:
@@ -217,10 +217,10 @@
     def _charge(self, task: Task, sign: int) -> None:
         spec = self.jobs[task.job_id].spec
         size = spec.tasks[task.index].cpu_millicores
-        self.team_millicores[spec.team] += sign * size
+        self.placed_millicores_by_team[spec.team] += sign * size
 
 
-class Undo:
+class UndoLog:
     """The former values that a sequence of events replaced."""
 
     def __init__(self, state: ShardState) -> None:
@@ -251,7 +251,7 @@
             self._state.put_task(old_id, task)
 
 
-def apply_event(state: ShardState, event: Event, undo: Undo) -> None:
+def apply_event(state: ShardState, event: Event, undo: UndoLog) -> None:
     """Change the state by one event.
 
     Raises ``JournalDamaged`` for a change of state that is not allowed.
@@ -284,13 +284,13 @@
         for task in read.tasks:
             state.put_task(task.task_id, task)
     for event in events:
-        apply_event(state, event, Undo(state))
+        apply_event(state, event, UndoLog(state))
     return state
 
 
 def _change_task(
     state: ShardState,
-    undo: Undo,
+    undo: UndoLog,
     task: Task,
     event: TaskStarted | TaskReturned | TaskEnded,
 ) -> None:
@@ -318,7 +318,7 @@
 
 def _change_by_job(
     state: ShardState,
-    undo: Undo,
+    undo: UndoLog,
     task: Task,
     event: JobCancelled | JobSetAside | JobReconsidered,
 ) -> None:
@@ -342,9 +342,9 @@
         _put(undo, task, changed)
 
 
-def _put(undo: Undo, task: Task, changed: Task) -> None:
+def _put(undo: UndoLog, task: Task, changed: Task) -> None:
     before, after = task.state.value, changed.state.value
-    if not may_change(task.state, changed.state):
+    if not is_transition_allowed(task.state, changed.state):
         raise JournalDamaged(
             message=f'{task.task_id} can not go from {before} to {after}',
         )
--- a/src/marjoramwharf/batch/http_api.py
+++ b/src/marjoramwharf/batch/http_api.py
@@ -23,7 +23,7 @@
     JobState,
     TaskSpec,
     shard_of,
-    shard_of_id,
+    parse_shard_id,
 )
 from marjoramwharf.errors import Failure, PeerUnreachable, Reason
 from marjoramwharf.http_bodies import read_body
@@ -145,7 +145,7 @@
         )
 
     def _shard_of_id(self, job_id: str) -> ShardId | None:
-        shard = shard_of_id(job_id)
+        shard = parse_shard_id(job_id)
         if shard is None or shard >= self.shard_count:
             return None
         return shard
--- a/src/marjoramwharf/batch/job.py
+++ b/src/marjoramwharf/batch/job.py
@@ -184,12 +184,12 @@
         return (self.placement.shard_epoch, self.attempt)
 
 
-def may_change(before: TaskState, after: TaskState) -> bool:
+def is_transition_allowed(before: TaskState, after: TaskState) -> bool:
     """Tell whether a task may go from one state to another."""
     return after in TASK_TRANSITIONS[before]
 
 
-def job_state(states: Collection[TaskState]) -> JobState:
+def derive_job_state(states: Collection[TaskState]) -> JobState:
     """Return the state of a job whose tasks have these states."""
     found = frozenset(states)
     if found & HELD_STATES:
@@ -221,7 +221,7 @@
     return JobId(f'{shard}-{digest}')
 
 
-def shard_of_id(known_id: str) -> ShardId | None:
+def parse_shard_id(known_id: str) -> ShardId | None:
     """Return the shard of a job or task id, ``None`` if it is malformed."""
     number, dash, _ = known_id.partition('-')
     if not dash or not number.isdecimal() or not number.isascii():
--- a/src/marjoramwharf/batch/journal.py
+++ b/src/marjoramwharf/batch/journal.py
@@ -21,7 +21,7 @@
 from marjoramwharf.batch.events import (
     Event,
     ShardState,
-    Undo,
+    UndoLog,
     apply_event,
     replay,
 )
@@ -96,7 +96,7 @@
     ) -> None:
         """Prepare a journal; ``recover`` must be called before ``run``."""
         self.state = ShardState()
-        self.is_lost = False
+        self.is_ownership_lost = False
         self._store = store
         self._prefix = f'/jobs/{shard}/'
         self._owner = owner
@@ -135,7 +135,7 @@
         be and ``StoreAnswerLost`` if that is not known in time. A cancelled
         caller withdraws the proposal unless its write has begun.
         """
-        if self.is_lost:
+        if self.is_ownership_lost:
             raise NotOwner(message='the shard has another owner')
         waiting = _Waiting(propose)
         self._queue.append(waiting)
@@ -169,10 +169,10 @@
     async def run(self) -> None:
         """Write queued proposals until the shard has another owner."""
         try:
-            while not self.is_lost:
+            while not self.is_ownership_lost:
                 await self._write_queue()
         except trio.Cancelled:
-            self.is_lost = True
+            self.is_ownership_lost = True
             raise
         finally:
             self._fail_all()
@@ -183,7 +183,7 @@
         The parts count only when all of them are present, so a half-written
         snapshot is ignored and the log before it is still there.
         """
-        image = self.state.image()
+        image = self.state.encode_snapshot()
         size = self._part_bytes
         name = _snapshot_name(self._last_seq)
         count = -(-len(image) // size)
@@ -212,19 +212,19 @@
             urgency=Urgency.SNAPSHOT,
         )
         if isinstance(outcome, Conflict):
-            self.is_lost = True
+            self.is_ownership_lost = True
             raise NotOwner(message='the shard has another owner')
 
     async def _write_queue(self) -> None:
         await self._wake.wait()
         self._wake = trio.Event()
-        while self._queue and not self.is_lost:
+        while self._queue and not self.is_ownership_lost:
             await self._write_group()
             await self._snapshot_if_due()
             await trio.sleep(self._interval_s)
 
     async def _snapshot_if_due(self) -> None:
-        if self.is_lost or len(self._log_keys) < self._snapshot_after:
+        if self.is_ownership_lost or len(self._log_keys) < self._snapshot_after:
             return
         try:
             await self.snapshot()
@@ -233,7 +233,7 @@
             _LOG.warning('snapshot not written', reason=failure.reason.value)
 
     async def _write_group(self) -> None:
-        undo = Undo(self.state)
+        undo = UndoLog(self.state)
         events = self._take_group(undo)
         failure = None
         if events:
@@ -245,7 +245,7 @@
             waiting.settled.set()
         self._in_write = []
 
-    def _take_group(self, undo: Undo) -> list[Event]:
+    def _take_group(self, undo: UndoLog) -> list[Event]:
         events: list[Event] = []
         size = 0
         while self._queue and size < _ENTRY_BYTES:
@@ -272,7 +272,7 @@
             self._last_seq += 1
             self._log_keys.append(key)
         elif not isinstance(failure, (StoreUnavailable, StoreBudgetSpent)):
-            self.is_lost = True
+            self.is_ownership_lost = True
         return failure
 
     async def _write_until_known(
--- a/src/marjoramwharf/batch/ordering.py
+++ b/src/marjoramwharf/batch/ordering.py
@@ -34,7 +34,7 @@
     """Processors per team, with the tasks chosen so far."""
 
     def __init__(self, state: ShardState, policy: ShardPolicy) -> None:
-        self._used = dict(state.team_millicores)
+        self._used = dict(state.placed_millicores_by_team)
         self._policy = policy
 
     def take(self, job: Job, task: Task) -> bool:
@@ -110,10 +110,10 @@
 
 
 def _key_is_free(state: ShardState, key: str, job_id: JobId) -> bool:
-    if state.holder_of(key) not in {None, job_id}:
+    if state.find_key_holder(key) not in {None, job_id}:
         return False
     return not any(
         task.state in HELD_STATES
-        for other in state.jobs_of_exclusive[key]
+        for other in state.jobs_by_exclusive_key[key]
         for task in state.tasks_of(other)
     )
--- a/src/marjoramwharf/batch/outcomes.py
+++ b/src/marjoramwharf/batch/outcomes.py
@@ -10,9 +10,9 @@
 
 import trio
 
-from marjoramwharf.batch.capacity import Capacity
-from marjoramwharf.batch.failing_workers import FailingWorkers
-from marjoramwharf.batch.job import Placement, shard_of_id
+from marjoramwharf.batch.capacity import CapacityClient
+from marjoramwharf.batch.worker_failures import WorkerFailureTracker
+from marjoramwharf.batch.job import Placement, parse_shard_id
 from marjoramwharf.batch.shard import JobShard
 from marjoramwharf.errors import Failure
 from marjoramwharf.ids import JobId, ShardId, WorkerId
@@ -22,14 +22,14 @@
 _LOG = part_logger('jobs')
 
 
-class Outcomes:
+class OutcomeCommitter:
     """Ends of attempts that are not durable or not released yet."""
 
     def __init__(
         self,
         shards: Mapping[ShardId, JobShard],
-        capacity: Capacity,
-        failing: FailingWorkers,
+        capacity: CapacityClient,
+        failing: WorkerFailureTracker,
     ) -> None:
         """Work on the owned shards, which change over time."""
         self._shards = shards
@@ -41,7 +41,7 @@
 
     async def finish(self, report: TaskReport) -> None:
         """Commit the end of an attempt, now or by ``retry``."""
-        shard_id = shard_of_id(report.task_id)
+        shard_id = parse_shard_id(report.task_id)
         shard = None if shard_id is None else self._shards.get(shard_id)
         if shard is None:
             # The new owner learns the end from the worker.
--- a/src/marjoramwharf/batch/placement.py
+++ b/src/marjoramwharf/batch/placement.py
@@ -110,7 +110,7 @@
         if not self._sizes[held.whole]:
             self._sizes.pop(held.whole)
 
-    def close(self, worker_id: WorkerId, until_s: float) -> None:
+    def cordon(self, worker_id: WorkerId, until_s: float) -> None:
         """Place nothing on a worker until a time."""
         held = self._held.get(worker_id)
         if held is not None:
@@ -161,7 +161,7 @@
             self._racks.pop(job)
         self._refile(held)
 
-    def free_on(self, worker_id: WorkerId) -> Demand | None:
+    def free_capacity(self, worker_id: WorkerId) -> Demand | None:
         """Return what is free on a worker, ``None`` if it is unknown."""
         held = self._held.get(worker_id)
         return None if held is None else held.free
--- a/src/marjoramwharf/batch/pauses.py
+++ b/src/marjoramwharf/batch/retry_pauses.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True)
-class Pauses:
+class RetryPauses:
     """Times before which a key is left alone."""
 
     pause_s: float
--- a/src/marjoramwharf/batch/runner.py
+++ b/src/marjoramwharf/batch/runner.py
@@ -15,15 +15,15 @@
 
 import trio
 
-from marjoramwharf.batch.capacity import Capacity
-from marjoramwharf.batch.failing_workers import FailingWorkers
-from marjoramwharf.batch.job import HELD_STATES, Task, TaskSpec, shard_of_id
+from marjoramwharf.batch.capacity import CapacityClient
+from marjoramwharf.batch.worker_failures import WorkerFailureTracker
+from marjoramwharf.batch.job import HELD_STATES, Task, TaskSpec, parse_shard_id
 from marjoramwharf.batch.ordering import ready_tasks
-from marjoramwharf.batch.outcomes import Outcomes
-from marjoramwharf.batch.pauses import Pauses
-from marjoramwharf.batch.settling import RUNNING_PHASES, AgentOf, Settling
+from marjoramwharf.batch.outcomes import OutcomeCommitter
+from marjoramwharf.batch.retry_pauses import RetryPauses
+from marjoramwharf.batch.settling import RUNNING_PHASES, AgentLookup, AttemptSettler
 from marjoramwharf.batch.shard import JobShard
-from marjoramwharf.batch.starts import Starts
+from marjoramwharf.batch.task_starter import TaskStarter
 from marjoramwharf.ids import ShardId, TaskId, WorkerId
 from marjoramwharf.machines.calls import Demand, LeaseReply, TaskReport
 
@@ -38,27 +38,27 @@
     scan_count: int = 2_000
 
 
-class Runner:
+class JobRunner:
     """Runs the tasks of the job shards that this entry owns."""
 
     def __init__(
         self,
-        capacity: Capacity,
-        agent_of: AgentOf,
+        capacity: CapacityClient,
+        agent_of: AgentLookup,
         *,
         size_of: Callable[[TaskSpec], Demand] | None = None,
         limits: RunnerLimits | None = None,
     ) -> None:
         """Prepare a runner; ``size_of`` corrects the declared sizes."""
-        self.failing = FailingWorkers()
+        self.failing = WorkerFailureTracker()
         self._limits = limits or RunnerLimits()
         self._shards: dict[ShardId, JobShard] = {}
-        self._outcomes = Outcomes(self._shards, capacity, self.failing)
-        self._pauses = Pauses(self._limits.retry_s)
+        self._outcomes = OutcomeCommitter(self._shards, capacity, self.failing)
+        self._pauses = RetryPauses(self._limits.retry_s)
         # Tasks with a call under way; one call per task at a time.
         self._active: set[TaskId] = set()
-        self._settling = Settling(agent_of, self._outcomes, self._pauses)
-        self._starts = Starts(
+        self._settling = AttemptSettler(agent_of, self._outcomes, self._pauses)
+        self._starts = TaskStarter(
             capacity,
             agent_of,
             self._outcomes,
@@ -67,7 +67,7 @@
             size_of or _declared,
         )
 
-    async def own(self, shard: JobShard) -> None:
+    async def serve_shard(self, shard: JobShard) -> None:
         """Serve a recovered shard until it has another owner.
 
         Tasks that the former owner started count as held. Their workers'
@@ -173,7 +173,7 @@
         shard.wake_waiters()
 
     def _shard_of(self, task_id: TaskId) -> JobShard | None:
-        shard_id = shard_of_id(task_id)
+        shard_id = parse_shard_id(task_id)
         return None if shard_id is None else self._shards.get(shard_id)
 
     def _busy_or_reported(
--- a/src/marjoramwharf/batch/settling.py
+++ b/src/marjoramwharf/batch/settling.py
@@ -10,14 +10,14 @@
 import trio
 
 from marjoramwharf.batch.job import Task, TaskState
-from marjoramwharf.batch.outcomes import Outcomes
-from marjoramwharf.batch.pauses import Pauses
+from marjoramwharf.batch.outcomes import OutcomeCommitter
+from marjoramwharf.batch.retry_pauses import RetryPauses
 from marjoramwharf.batch.shard import JobShard
 from marjoramwharf.errors import WorkerUnreachable
 from marjoramwharf.ids import TaskId, WorkerId
 from marjoramwharf.machines.calls import TaskPhase, TaskReport, WorkerAgent
 
-AgentOf: TypeAlias = Callable[[WorkerId], WorkerAgent | None]
+AgentLookup: TypeAlias = Callable[[WorkerId], WorkerAgent | None]
 
 RUNNING_PHASES = frozenset((TaskPhase.RUNNING, TaskPhase.THROTTLED))
 
@@ -28,12 +28,12 @@
 
 
 @dataclass(slots=True)
-class Settling:
+class AttemptSettler:
     """Settles the attempts of the owned shards."""
 
-    agent_of: AgentOf
-    outcomes: Outcomes
-    pauses: Pauses
+    agent_of: AgentLookup
+    outcomes: OutcomeCommitter
+    pauses: RetryPauses
     _missed: dict[TaskId, int] = field(default_factory=dict)
 
     async def stop(self, task: Task) -> bool:
--- a/src/marjoramwharf/batch/shard.py
+++ b/src/marjoramwharf/batch/shard.py
@@ -25,7 +25,7 @@
     Task,
     TaskState,
     job_id_of,
-    job_state,
+    derive_job_state,
 )
 from marjoramwharf.batch.journal import Journal, Proposal
 from marjoramwharf.batch.ordering import ShardPolicy, ready_tasks
@@ -182,7 +182,7 @@
         task = self.state.tasks.get(task_id)
         if task is None or task.placement != placement:
             return None
-        return start_message(self.state, task)
+        return build_task_start(self.state, task)
 
     async def record(self, report: TaskReport) -> Placement | None:
         """Commit the end of an attempt that a worker reports.
@@ -209,7 +209,7 @@
         )
         return freed
 
-    async def set_aside(self, task_id: TaskId) -> None:
+    async def mark_impossible(self, task_id: TaskId) -> None:
         """Mark a job as impossible because no worker is large enough."""
         await self._commit(
             partial(decisions.setting_aside, task_id=task_id),
@@ -219,7 +219,7 @@
         """Let impossible jobs wait again, after larger workers joined."""
         await self._commit(decisions.reconsideration)
 
-    async def forget_old(self, now_ms: int) -> None:
+    async def forget_expired_jobs(self, now_ms: int) -> None:
         """Drop jobs that have been final for the retention time.
 
         The time is counted from the first call that finds the job final; a
@@ -250,7 +250,7 @@
 
     async def _durable(self) -> None:
         await self.journal.durable()
-        if self.journal.is_lost:
+        if self.journal.is_ownership_lost:
             raise NotOwner(message='the shard has another owner')
 
     async def _commit(self, propose: Proposal) -> None:
@@ -266,7 +266,7 @@
         reasons = [task.reason for task in tasks if task.reason is not None]
         return JobStatus(
             job_id=job_id,
-            state=job_state(counts),
+            state=derive_job_state(counts),
             team=job.spec.team,
             submitted_at_ms=job.submitted_at_ms,
             task_counts=dict(counts),
@@ -274,7 +274,7 @@
         )
 
 
-def start_message(state: ShardState, task: Task) -> TaskStart:
+def build_task_start(state: ShardState, task: Task) -> TaskStart:
     """Return the call that starts or settles a placed attempt."""
     spec = state.jobs[task.job_id].spec
     size = spec.tasks[task.index]
--- a/src/marjoramwharf/batch/starts.py
+++ b/src/marjoramwharf/batch/task_starter.py
@@ -8,16 +8,16 @@
 import trio
 
 from marjoramwharf.batch.capacity import (
-    Capacity,
-    NoRoom,
+    CapacityClient,
+    NoWorkerFound,
     Reservation,
-    ReservationAsk,
+    ReservationRequest,
 )
-from marjoramwharf.batch.failing_workers import FailingWorkers
+from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.batch.job import Task, TaskSpec
-from marjoramwharf.batch.outcomes import Outcomes
-from marjoramwharf.batch.pauses import Pauses
-from marjoramwharf.batch.settling import RUNNING_PHASES, AgentOf
+from marjoramwharf.batch.outcomes import OutcomeCommitter
+from marjoramwharf.batch.retry_pauses import RetryPauses
+from marjoramwharf.batch.settling import RUNNING_PHASES, AgentLookup
 from marjoramwharf.batch.shard import JobShard
 from marjoramwharf.errors import (
     Failure,
@@ -39,14 +39,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Starts:
+class TaskStarter:
     """Starts tasks; ``size_of`` corrects their declared sizes."""
 
-    capacity: Capacity
-    agent_of: AgentOf
-    outcomes: Outcomes
-    pauses: Pauses
-    failing: FailingWorkers
+    capacity: CapacityClient
+    agent_of: AgentLookup
+    outcomes: OutcomeCommitter
+    pauses: RetryPauses
+    failing: WorkerFailureTracker
     size_of: Callable[[TaskSpec], Demand]
 
     async def start(self, shard: JobShard, task: Task) -> None:
@@ -69,7 +69,7 @@
         spec = job.spec
         size = spec.tasks[task.index]
         aside = self.failing.aside(trio.current_time())
-        ask = ReservationAsk(
+        ask = ReservationRequest(
             task_id=task.task_id,
             fence=(shard.epoch, shard.next_attempt()),
             demand=self.size_of(size),
@@ -79,9 +79,9 @@
             declared=size.demand,
         )
         found = await self.capacity.reserve(ask)
-        if isinstance(found, NoRoom):
+        if isinstance(found, NoWorkerFound):
             if found.reason is Reason.NEVER_FITS:
-                await shard.set_aside(task.task_id)
+                await shard.mark_impossible(task.task_id)
             self.pauses.pause(size.demand, trio.current_time())
         elif found.worker_id in aside:
             self.pauses.pause(size.demand, trio.current_time())
@@ -95,7 +95,7 @@
     async def _commit_start(
         self,
         shard: JobShard,
-        ask: ReservationAsk,
+        ask: ReservationRequest,
         found: Reservation,
     ) -> TaskStart | None:
         try:
--- a/src/marjoramwharf/batch/failing_workers.py
+++ b/src/marjoramwharf/batch/worker_failures.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerSetAside:
+class WorkerExclusion:
     """A worker that gets no batch tasks until a time."""
 
     worker_id: WorkerId
@@ -30,13 +30,13 @@
     pause_s: float = _FIRST_PAUSE_S
 
 
-class FailingWorkers:
+class WorkerFailureTracker:
     """Failures per worker since its last success."""
 
     def __init__(self) -> None:
         """Start without failures."""
         self._records: dict[WorkerId, _Record] = {}
-        self._aside: dict[WorkerId, WorkerSetAside] = {}
+        self._aside: dict[WorkerId, WorkerExclusion] = {}
 
     def succeeded(self, worker_id: WorkerId) -> None:
         """Forget a worker's failures."""
@@ -48,7 +48,7 @@
         worker_id: WorkerId,
         job_id: JobId,
         now_s: float,
-    ) -> WorkerSetAside | None:
+    ) -> WorkerExclusion | None:
         """Count a failure and return the pause that it starts, if any.
 
         After a pause, a failure of one more job starts a pause of twice the
@@ -60,7 +60,7 @@
             return None
         if worker_id in self.aside(now_s):
             return None
-        pause = WorkerSetAside(worker_id, now_s + record.pause_s)
+        pause = WorkerExclusion(worker_id, now_s + record.pause_s)
         record.pause_s = min(record.pause_s * 2, _LONGEST_PAUSE_S)
         self._aside[worker_id] = pause
         return pause
--- a/src/marjoramwharf/programs/_batch_path.py
+++ b/src/marjoramwharf/programs/_batch_path.py
@@ -12,7 +12,7 @@
 from marjoramwharf.batch.http_api import jobs_blueprint
 from marjoramwharf.batch.job import TaskSpec
 from marjoramwharf.batch.ordering import ShardPolicy
-from marjoramwharf.batch.runner import Runner
+from marjoramwharf.batch.runner import JobRunner
 from marjoramwharf.contracts.lending import CapacityKeeper
 from marjoramwharf.contracts.note_keeper import InForce
 from marjoramwharf.contracts.ownership import (
@@ -114,7 +114,7 @@
             agent_of=self._agent_of,
             clock=parts.clock,
         )
-        self.runner = Runner(
+        self.runner = JobRunner(
             self.capacity,
             self._agent_of,
             size_of=self._size_of,
@@ -274,7 +274,7 @@
             self._parts.keeper.desk.forget_ended()
             for owned in self.runner.shards():
                 try:
-                    await owned.forget_old(now_ms())
+                    await owned.forget_expired_jobs(now_ms())
                 except Failure as failure:
                     _log.info('not forgotten', reason=failure.reason.value)
 
--- a/src/marjoramwharf/programs/_class_usage.py
+++ b/src/marjoramwharf/programs/_class_usage.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from marjoramwharf.batch.estimates import SizeEstimates
+from marjoramwharf.batch.estimates import SizeEstimator
 from marjoramwharf.contracts.desk import OwnerDesk
 from marjoramwharf.contracts.ledger import WorkerLedger
 from marjoramwharf.errors import WorkerUnreachable
@@ -41,7 +41,7 @@
         clock: Callable[[], float],
     ) -> None:
         """Start without observations."""
-        self.estimates = SizeEstimates()
+        self.estimates = SizeEstimator()
         self._desk = desk
         self._agent_of = agent_of
         self._clock = clock
--- a/src/marjoramwharf/programs/_job_routing.py
+++ b/src/marjoramwharf/programs/_job_routing.py
@@ -8,7 +8,7 @@
 from msgspec import json
 
 from marjoramwharf.batch.job_calls import Answer, answer_job_call
-from marjoramwharf.batch.runner import Runner
+from marjoramwharf.batch.runner import JobRunner
 from marjoramwharf.contracts.borrowing import PeerCaller
 from marjoramwharf.contracts.ownership import OwnerRecord
 from marjoramwharf.errors import NotOwner
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        runner: Runner,
+        runner: JobRunner,
         *,
         owner_of: Callable[[ShardId], OwnerRecord | None],
         peers: Callable[[], Mapping[EntryId, PeerCaller]],
--- a/src/marjoramwharf/programs/_job_shards.py
+++ b/src/marjoramwharf/programs/_job_shards.py
@@ -8,7 +8,7 @@
 
 from marjoramwharf.batch.journal import Journal
 from marjoramwharf.batch.ordering import ShardPolicy
-from marjoramwharf.batch.runner import Runner
+from marjoramwharf.batch.runner import JobRunner
 from marjoramwharf.batch.shard import JobShard
 from marjoramwharf.contracts.ownership import Ownership
 from marjoramwharf.errors import Failure
@@ -46,7 +46,7 @@
     def __init__(
         self,
         ownership: Ownership,
-        runner: Runner,
+        runner: JobRunner,
         store: Store,
         *,
         settings: BatchSettings,
@@ -140,7 +140,7 @@
                 await trio.sleep(_RECOVER_PAUSE_S)
             else:
                 break
-        await self._runner.own(JobShard(shard, epoch, journal, self._policy))
+        await self._runner.serve_shard(JobShard(shard, epoch, journal, self._policy))
 
     async def _hand_over(self, shard: ShardId) -> None:
         owned = self._runner.shard(shard)
--- a/src/marjoramwharf/programs/_task_placement.py
+++ b/src/marjoramwharf/programs/_task_placement.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable, Collection, Mapping
 
-from marjoramwharf.batch.capacity import NoRoom, Reservation, ReservationAsk
+from marjoramwharf.batch.capacity import NoWorkerFound, Reservation, ReservationRequest
 from marjoramwharf.batch.placement import (
     NoFit,
     PlacementIndex,
@@ -80,7 +80,7 @@
                 return ledger
             else:
                 self.follow(ledger)
-                self._index.close(found, now_s + _CLOSED_S)
+                self._index.cordon(found, now_s + _CLOSED_S)
         return None
 
     def follow(self, ledger: WorkerLedger) -> None:
@@ -140,14 +140,14 @@
         """Take over the free processors of a peer's workers."""
         self._free_millicores[sender] = news.free_millicores or 0
 
-    async def reserve(self, ask: ReservationAsk) -> Reservation | NoRoom:
+    async def reserve(self, ask: ReservationRequest) -> Reservation | NoWorkerFound:
         """Ask a few owners, at random in proportion to what is free there.
 
         An owner whose answer was lost frees the reservation after the worker
         has confirmed that the attempt never ran.
         """
         if not self.can_hold(ask.demand):
-            return NoRoom(Reason.NEVER_FITS)
+            return NoWorkerFound(Reason.NEVER_FITS)
         peers = self._peers()
         for owner in self._owners(ask.demand, peers):
             found = await self._ask(owner, peers.get(owner), ask)
@@ -160,7 +160,7 @@
                 self._free_millicores[owner],
                 ask.demand.cpu_millicores - 1,
             )
-        return NoRoom()
+        return NoWorkerFound()
 
     async def release(self, reservation: str) -> None:
         """Give room back at the owner of the worker."""
@@ -203,7 +203,7 @@
         self,
         owner: EntryId,
         peer: PeerCaller | None,
-        ask: ReservationAsk,
+        ask: ReservationRequest,
     ) -> Reservation | None:
         try:
             if peer is None:
@@ -212,7 +212,7 @@
         except (PeerRefused, PeerUnreachable):
             return None
 
-    def _reserve_here(self, ask: ReservationAsk) -> Reservation:
+    def _reserve_here(self, ask: ReservationRequest) -> Reservation:
         placement = Placement(
             task_id=ask.task_id,
             fence=ask.fence,
@@ -231,7 +231,7 @@
         )
 
 
-async def _reserve_at(peer: PeerCaller, ask: ReservationAsk) -> Reservation:
+async def _reserve_at(peer: PeerCaller, ask: ReservationRequest) -> Reservation:
     reply = await peer.call(
         ttypes.Reserve(
             task_id=ask.task_id,
--- a/src/marjoramwharf/programs/_task_reports.py
+++ b/src/marjoramwharf/programs/_task_reports.py
@@ -12,8 +12,8 @@
 
 import trio
 
-from marjoramwharf.batch.job import shard_of_id
-from marjoramwharf.batch.runner import Runner
+from marjoramwharf.batch.job import parse_shard_id
+from marjoramwharf.batch.runner import JobRunner
 from marjoramwharf.batch.settling import RUNNING_PHASES
 from marjoramwharf.contracts.borrowing import PEER_TIMEOUT_S, PeerCaller
 from marjoramwharf.contracts.ownership import OwnerRecord
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        runner: Runner,
+        runner: JobRunner,
         entry_id: EntryId,
         *,
         records: Callable[[], Mapping[ShardId, OwnerRecord]],
@@ -224,7 +224,7 @@
     records: Mapping[ShardId, OwnerRecord],
     report: TaskReport,
 ) -> OwnerRecord | None:
-    shard = shard_of_id(report.task_id)
+    shard = parse_shard_id(report.task_id)
     return None if shard is None else records.get(shard)
 
 
--- a/tests/batch/fakes.py
+++ b/tests/batch/fakes.py
@@ -11,11 +11,11 @@
 import trio
 from trio.testing import wait_all_tasks_blocked
 
-from marjoramwharf.batch.capacity import NoRoom, Reservation, ReservationAsk
+from marjoramwharf.batch.capacity import NoWorkerFound, Reservation, ReservationRequest
 from marjoramwharf.batch.job import JobSpec, TaskSpec
 from marjoramwharf.batch.journal import Journal
 from marjoramwharf.batch.ordering import ShardPolicy
-from marjoramwharf.batch.runner import Runner
+from marjoramwharf.batch.runner import JobRunner
 from marjoramwharf.batch.shard import JobShard
 from marjoramwharf.errors import WorkerUnreachable
 from marjoramwharf.ids import Epoch, ShardId, TaskId, TeamId, WorkerId
@@ -175,11 +175,11 @@
     """Hands out the workers in turn; ``refusal`` answers every ask."""
 
     worker_ids: list[WorkerId]
-    refusal: NoRoom | None = None
+    refusal: NoWorkerFound | None = None
     next_id: int = 0
     released: Counter[str] = field(default_factory=Counter)
 
-    async def reserve(self, ask: ReservationAsk) -> Reservation | NoRoom:
+    async def reserve(self, ask: ReservationRequest) -> Reservation | NoWorkerFound:
         """Reserve room on the next worker that is not to be avoided."""
         await trio.lowlevel.checkpoint()
         usable = [
@@ -188,7 +188,7 @@
             if worker_id not in ask.avoid_workers
         ]
         if self.refusal is not None or not usable:
-            return self.refusal or NoRoom()
+            return self.refusal or NoWorkerFound()
         self.next_id += 1
         return Reservation(
             worker_id=usable[self.next_id % len(usable)],
@@ -213,19 +213,19 @@
         self.capacity = FakeCapacity(names)
         self.workers = {name: FakeWorker(name, self.executed) for name in names}
         self.epoch = 0
-        self.runners: list[Runner] = []
+        self.runners: list[JobRunner] = []
 
     @asynccontextmanager
     async def owner(
         self,
         policy: ShardPolicy = POLICY,
         **options: Any,
-    ) -> AsyncIterator[tuple[JobShard, Runner]]:
+    ) -> AsyncIterator[tuple[JobShard, JobRunner]]:
         """Take the shard as a new owner and serve it in the block."""
         shard = await self.take(policy, **options)
-        runner = Runner(self.capacity, self.agent_of)
+        runner = JobRunner(self.capacity, self.agent_of)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(runner.own, shard)
+            nursery.start_soon(runner.serve_shard, shard)
             nursery.start_soon(runner.run)
             self.runners.append(runner)
             await wait_all_tasks_blocked()
--- a/tests/batch/test_estimates.py
+++ b/tests/batch/test_estimates.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marjoramwharf.batch.estimates import RatioQuantile, SizeEstimates
+from marjoramwharf.batch.estimates import DecayingHistogram, SizeEstimator
 from marjoramwharf.machines.calls import Demand
 
 _DECLARED = Demand(1_000, 1_000)
@@ -18,7 +18,7 @@
 
     def test_oversized_class_shrinks_after_enough_observations(self) -> None:
         """Guards against a correction from too few observations."""
-        estimates = SizeEstimates()
+        estimates = SizeEstimator()
         for count in range(40):
             size = estimates.correct('quote', _DECLARED, now_s=0)
             if count < 20:
@@ -39,7 +39,7 @@
         used: int,
     ) -> None:
         """Guards against a task that is given less than it uses."""
-        estimates = SizeEstimates()
+        estimates = SizeEstimator()
         for size in seen:
             estimates.observe('press', _DECLARED, Demand(size, size), now_s=0)
         corrected = estimates.correct(
@@ -56,7 +56,7 @@
 
     def test_old_observations_decay(self) -> None:
         """Guards against an estimate that a past burst keeps high."""
-        ratio = RatioQuantile(half_life_s=60)
+        ratio = DecayingHistogram(half_life_s=60)
         for _ in range(100):
             ratio.observe(5, now_s=0)
         for _ in range(100):
--- a/tests/batch/test_job.py
+++ b/tests/batch/test_job.py
@@ -11,10 +11,10 @@
     JobState,
     TaskState,
     job_id_of,
-    job_state,
-    may_change,
+    derive_job_state,
+    is_transition_allowed,
     shard_of,
-    shard_of_id,
+    parse_shard_id,
 )
 from tests.batch.fakes import job_spec
 
@@ -45,12 +45,12 @@
         """Guards against a status call that can't be routed."""
         spec = job_spec(key)
         shard = shard_of(spec, count)
-        self.assertEqual(shard_of_id(job_id_of(spec, shard)), shard)
+        self.assertEqual(parse_shard_id(job_id_of(spec, shard)), shard)
 
     def test_malformed_ids(self) -> None:
         """Guards against an exception for an id that a caller made up."""
         for bad in ('', '-', 'x-1', '12', '²-1'):
-            self.assertIsNone(shard_of_id(bad), bad)
+            self.assertIsNone(parse_shard_id(bad), bad)
 
 
 class StateTests(unittest.TestCase):
@@ -59,9 +59,9 @@
     def test_final_states_stay(self) -> None:
         """Guards against a second outcome of a task."""
         for final in (TaskState.DONE, TaskState.FAILED, TaskState.CANCELLED):
-            self.assertFalse(any(may_change(final, to) for to in TaskState))
+            self.assertFalse(any(is_transition_allowed(final, to) for to in TaskState))
 
     def test_job_with_a_held_task_runs(self) -> None:
         """Guards against a cancelled job that is final too early."""
         states = {TaskState.CANCELLED, TaskState.STOPPING}
-        self.assertIs(job_state(states), JobState.RUNNING)
+        self.assertIs(derive_job_state(states), JobState.RUNNING)
--- a/tests/batch/test_lifecycle.py
+++ b/tests/batch/test_lifecycle.py
@@ -20,13 +20,13 @@
 from trio.testing import MockClock
 
 from marjoramwharf.batch.job import FINAL_STATES, JobState, job_id_of
-from marjoramwharf.batch.runner import Runner
+from marjoramwharf.batch.runner import JobRunner
 from marjoramwharf.batch.shard import JobShard
 from marjoramwharf.errors import Failure, StoreAnswerLost
 from marjoramwharf.ids import JobId
 from tests.batch.fakes import World, job_spec
 
-Script = Callable[[JobShard, Runner], Awaitable[None]]
+Script = Callable[[JobShard, JobRunner], Awaitable[None]]
 
 _SECONDS = st.sampled_from((0.05, 0.3, 0.75, 1.6))
 _HEALING_S = 120
@@ -47,7 +47,7 @@
     def begin(self, exclusive_key: str | None) -> None:
         """Have work from the start, so that the faults meet some."""
 
-        async def script(shard: JobShard, runner: Runner) -> None:
+        async def script(shard: JobShard, runner: JobRunner) -> None:
             for key in ('x', 'y'):
                 spec = job_spec(
                     key,
@@ -86,7 +86,7 @@
             exclusive_key=exclusive_key,
         )
 
-        async def script(shard: JobShard, runner: Runner) -> None:
+        async def script(shard: JobShard, runner: JobRunner) -> None:
             self.world.store.answers_to_lose = lose
             self.world.store.is_down = is_down
             job_id = job_id_of(spec, shard.shard)
@@ -122,7 +122,7 @@
     ) -> None:
         """Lose answers of the store and of a worker."""
 
-        async def script(shard: JobShard, runner: Runner) -> None:
+        async def script(shard: JobShard, runner: JobRunner) -> None:
             worker = next(iter(self.world.workers.values()))
             worker.answers_to_lose = lose_answers
             worker.starts_to_delay = delay_starts
@@ -136,7 +136,7 @@
     def outage(self, seconds: float, down_s: float) -> None:
         """Take the store down while tasks run, and bring it back."""
 
-        async def script(shard: JobShard, runner: Runner) -> None:
+        async def script(shard: JobShard, runner: JobRunner) -> None:
             await trio.sleep(seconds)
             self.world.store.is_down = True
             await trio.sleep(down_s)
@@ -149,7 +149,7 @@
     def evict(self, seconds: float, lose: int) -> None:
         """Evict everything that runs, and go on."""
 
-        async def script(shard: JobShard, runner: Runner) -> None:
+        async def script(shard: JobShard, runner: JobRunner) -> None:
             await trio.sleep(seconds)
             self.world.store.answers_to_lose = lose
             for task_id in tuple(shard.state.tasks):
@@ -162,7 +162,7 @@
     def usurp(self, seconds: float, second_s: float) -> None:
         """Let a former owner go on next to the new one."""
 
-        async def script(shard: JobShard, runner: Runner) -> None:
+        async def script(shard: JobShard, runner: JobRunner) -> None:
             await trio.sleep(seconds)
             async with self.world.owner():
                 await trio.sleep(second_s)
@@ -173,7 +173,7 @@
     def cancel(self, seconds: float) -> None:
         """Cancel one job."""
 
-        async def script(shard: JobShard, runner: Runner) -> None:
+        async def script(shard: JobShard, runner: JobRunner) -> None:
             known = sorted(shard.state.jobs)[:1]
             self.cancelled.update(known)
             await shard.cancel(known)
@@ -194,7 +194,7 @@
     def teardown(self) -> None:
         """Heal everything; each accepted job must then be done."""
 
-        async def script(shard: JobShard, runner: Runner) -> None:
+        async def script(shard: JobShard, runner: JobRunner) -> None:
             for worker in self.world.workers.values():
                 worker.is_reachable = True
             assert not self.not_run.intersection(shard.state.jobs)
--- a/tests/batch/test_placement.py
+++ b/tests/batch/test_placement.py
@@ -80,7 +80,7 @@
                 self.index.free(placed, request.task_id)
                 self.index.free(placed, request.task_id)
             for worker in range(8):
-                free = self.index.free_on(WorkerId(f'w-{worker}'))
+                free = self.index.free_capacity(WorkerId(f'w-{worker}'))
                 assert free is not None
                 self.assertGreaterEqual(free.cpu_millicores, 0)
                 self.assertGreaterEqual(free.memory_mb, 0)
@@ -128,7 +128,7 @@
     def test_closed_and_avoided_workers_get_nothing(self) -> None:
         """Guards against work on workers that are leaving or failing."""
         for number in range(7):
-            self.index.close(WorkerId(f'w-{number}'), until_s=10)
+            self.index.cordon(WorkerId(f'w-{number}'), until_s=10)
         request = _request(0, Demand(1, 1), avoid_workers=('w-7',))
         self.assertIs(self.index.place(request, 5), NoFit.FULL)
         self.assertNotIsInstance(self.index.place(request, 10), NoFit)
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -9,9 +9,9 @@
 import trio
 from trio.testing import MockClock
 
-from marjoramwharf.batch.capacity import NoRoom
+from marjoramwharf.batch.capacity import NoWorkerFound
 from marjoramwharf.batch.job import JobState
-from marjoramwharf.batch.runner import Runner
+from marjoramwharf.batch.runner import JobRunner
 from marjoramwharf.batch.shard import JobShard
 from marjoramwharf.errors import Reason
 from marjoramwharf.ids import WorkerId
@@ -32,7 +32,7 @@
     def test_room_is_released_after_the_outcome(self) -> None:
         """Guards against reservations that are kept for ever."""
 
-        async def script(shard: JobShard, runner: Runner) -> None:
+        async def script(shard: JobShard, runner: JobRunner) -> None:
             job_id = await shard.submit(job_spec('a', tasks_count=3), 0)
             await trio.sleep(0.2)
             self.assertFalse(self.world.capacity.released)
@@ -49,7 +49,7 @@
     def test_unreachable_worker_keeps_its_tasks(self) -> None:
         """Guards against a restart of what may still run."""
 
-        async def script(shard: JobShard, runner: Runner) -> None:
+        async def script(shard: JobShard, runner: JobRunner) -> None:
             spec = job_spec('a', exclusive_key='die', run_ms=5)
             job_id = await shard.submit(spec, 0)
             await trio.sleep(0.3)
@@ -68,7 +68,7 @@
     def test_failing_worker_is_avoided(self) -> None:
         """Guards against a worker that fails every task it gets."""
 
-        async def script(shard: JobShard, runner: Runner) -> None:
+        async def script(shard: JobShard, runner: JobRunner) -> None:
             self.world.workers[_FIRST].is_failing = True
             for number in range(12):
                 spec = job_spec(str(number), max_failures_count=20)
@@ -85,8 +85,8 @@
     def test_job_that_never_fits_is_set_aside(self) -> None:
         """Guards against endless asks for a worker that does not exist."""
 
-        async def script(shard: JobShard, runner: Runner) -> None:
-            self.world.capacity.refusal = NoRoom(Reason.NEVER_FITS)
+        async def script(shard: JobShard, runner: JobRunner) -> None:
+            self.world.capacity.refusal = NoWorkerFound(Reason.NEVER_FITS)
             job_id = await shard.submit(job_spec('a'), 0)
             await trio.sleep(1)
             status = await shard.status(job_id)
@@ -97,7 +97,7 @@
     def test_stray_attempt_is_stopped(self) -> None:
         """Guards against work that goes on after it was given up."""
 
-        async def script(shard: JobShard, runner: Runner) -> None:
+        async def script(shard: JobShard, runner: JobRunner) -> None:
             await shard.submit(job_spec('a', run_ms=900), 0)
             await trio.sleep(0.3)
             held = next(iter(runner.held_workers()))
@@ -122,7 +122,7 @@
     def test_former_owner_leaves_the_attempts_of_its_successor(self) -> None:
         """Guards against a paused owner that stops its successor's tasks."""
 
-        async def script(shard: JobShard, runner: Runner) -> None:
+        async def script(shard: JobShard, runner: JobRunner) -> None:
             await shard.submit(job_spec('a', run_ms=900), 0)
             await trio.sleep(0.3)
             held = next(iter(runner.held_workers()))
@@ -138,12 +138,12 @@
     def test_reports_of_other_shards_are_returned(self) -> None:
         """Guards against an end that reaches no owner."""
 
-        async def script(shard: JobShard, runner: Runner) -> None:
+        async def script(shard: JobShard, runner: JobRunner) -> None:
             await shard.submit(job_spec('a'), 0)
             await trio.sleep(0.3)
             held = next(iter(runner.held_workers()))
             reply = await self.world.workers[held].heartbeat()
-            idle = Runner(self.world.capacity, self.world.agent_of)
+            idle = JobRunner(self.world.capacity, self.world.agent_of)
             foreign = await idle.on_lease_reply(held, reply)
             self.assertEqual(foreign, reply.tasks)
 
@@ -151,7 +151,7 @@
 
     def _serve(
         self,
-        script: Callable[[JobShard, Runner], Awaitable[None]],
+        script: Callable[[JobShard, JobRunner], Awaitable[None]],
     ) -> None:
         async def serve() -> None:
             async with trio.open_nursery() as nursery:
--- a/tests/batch/test_shard.py
+++ b/tests/batch/test_shard.py
@@ -152,7 +152,7 @@
 
         async def script(shard: JobShard) -> None:
             job_id = await shard.submit(job_spec('a'), 0)
-            await shard.set_aside(shard.ready(1)[0].task_id)
+            await shard.mark_impossible(shard.ready(1)[0].task_id)
             status = await shard.status(job_id)
             self.assertIs(status.state, JobState.IMPOSSIBLE)
             self.assertIs(status.reason, Reason.NEVER_FITS)
@@ -184,8 +184,8 @@
             job_id = await shard.submit(job_spec('a'), 0)
             await shard.submit(job_spec('b'), 0)
             await shard.cancel([job_id])
-            await shard.forget_old(1_000)
-            await shard.forget_old(1_000 + POLICY.retention_ms)
+            await shard.forget_expired_jobs(1_000)
+            await shard.forget_expired_jobs(1_000 + POLICY.retention_ms)
             self.assertNotIn(job_id, shard.state.jobs)
             self.assertEqual(len(shard.state.tasks), 1)
 
--- a/tests/batch/test_starts.py
+++ b/tests/batch/test_task_starter.py
@@ -7,11 +7,11 @@
 import trio
 from trio.testing import MockClock
 
-from marjoramwharf.batch.failing_workers import FailingWorkers
+from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.batch.job import Task
-from marjoramwharf.batch.outcomes import Outcomes
-from marjoramwharf.batch.pauses import Pauses
-from marjoramwharf.batch.starts import Starts
+from marjoramwharf.batch.outcomes import OutcomeCommitter
+from marjoramwharf.batch.retry_pauses import RetryPauses
+from marjoramwharf.batch.task_starter import TaskStarter
 from marjoramwharf.ids import JobId, TaskId
 from tests.batch.fakes import World
 
@@ -22,12 +22,12 @@
     def test_start_of_a_reverted_submission_is_dropped(self) -> None:
         """Guards against a job whose write the store refused meanwhile."""
         world = World()
-        failing = FailingWorkers()
-        starts = Starts(
+        failing = WorkerFailureTracker()
+        starts = TaskStarter(
             world.capacity,
             world.agent_of,
-            Outcomes({}, world.capacity, failing),
-            Pauses(1),
+            OutcomeCommitter({}, world.capacity, failing),
+            RetryPauses(1),
             failing,
             lambda size: size.demand,
         )
--- a/tests/batch/test_failing_workers.py
+++ b/tests/batch/test_worker_failures.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from marjoramwharf.batch.failing_workers import FailingWorkers
+from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.errors import Reason
 from marjoramwharf.ids import JobId, WorkerId
 
@@ -16,7 +16,7 @@
 
     def setUp(self) -> None:
         """Start without failures."""
-        self.failing = FailingWorkers()
+        self.failing = WorkerFailureTracker()
 
     def test_one_broken_job_does_not_set_a_worker_aside(self) -> None:
         """Guards against a bad job that closes the fleet."""
--- a/tests/programs/test_task_placement.py
+++ b/tests/programs/test_task_placement.py
@@ -10,7 +10,7 @@
 import trio
 from trio.testing import MockClock
 
-from marjoramwharf.batch.capacity import NoRoom, Reservation, ReservationAsk
+from marjoramwharf.batch.capacity import NoWorkerFound, Reservation, ReservationRequest
 from marjoramwharf.batch.job import JobPriority
 from marjoramwharf.contracts.desk import OwnerDesk, Placement
 from marjoramwharf.contracts.ledger import WorkerLedger
@@ -49,7 +49,7 @@
         raise PeerUnreachable(message=f'no answer within {timeout_s} s')
 
 
-def _ask(number: int, **changes: Any) -> ReservationAsk:
+def _ask(number: int, **changes: Any) -> ReservationRequest:
     fields: dict[str, Any] = {
         'task_id': TaskId(f'0-a.{number}'),
         'fence': (1, number),
@@ -57,7 +57,7 @@
         'task_class': 'wear',
         'priority': JobPriority.NORMAL,
     }
-    return ReservationAsk(**{**fields, **changes})
+    return ReservationRequest(**{**fields, **changes})
 
 
 class EntryCapacityTests(unittest.TestCase):
@@ -98,7 +98,7 @@
         """Guards against an index that forgets what was released."""
         first = self._reserve(_ask(1))
         self.assertIsInstance(first, Reservation)
-        self.assertIsInstance(self._reserve(_ask(2)), NoRoom)
+        self.assertIsInstance(self._reserve(_ask(2)), NoWorkerFound)
         trio.run(self.capacity.release, first.reservation_id)
         self.assertIsInstance(self._reserve(_ask(3)), Reservation)
 
@@ -135,7 +135,7 @@
     def test_too_large_for_every_worker(self) -> None:
         """Guards against endless asks for a job that can never run."""
         found = self._reserve(_ask(1, demand=Demand(5000, 1)))
-        self.assertEqual(found, NoRoom(Reason.NEVER_FITS))
+        self.assertEqual(found, NoWorkerFound(Reason.NEVER_FITS))
 
     def test_silent_peer_is_not_asked_again(self) -> None:
         """Guards against a storm of asks to a peer that does not answer."""
@@ -143,10 +143,10 @@
         self.capacity.summary_received(_PEER, news)
         self._reserve(_ask(1))
         for number in range(2, 5):
-            self.assertIsInstance(self._reserve(_ask(number)), NoRoom)
+            self.assertIsInstance(self._reserve(_ask(number)), NoWorkerFound)
         self.assertEqual(len(self.peer.asked), 1)
 
-    def _reserve(self, ask: ReservationAsk) -> Any:
+    def _reserve(self, ask: ReservationRequest) -> Any:
         async def reserve() -> Any:
             self._heartbeat()
             self.capacity.count_own()
--- a/tools/slope_state.py
+++ b/tools/slope_state.py
@@ -13,7 +13,7 @@
     JobSubmitted,
     ShardState,
     TaskStarted,
-    Undo,
+    UndoLog,
     apply_event,
 )
 from marjoramwharf.batch.job import Job, JobSpec, Placement, TaskSpec
@@ -189,13 +189,13 @@
     state = ShardState()
     for number in range(tasks_count):
         submitted = _submitted(number, 1)
-        apply_event(state, submitted, Undo(state))
-        apply_event(state, _started(submitted, number + 1), Undo(state))
+        apply_event(state, submitted, UndoLog(state))
+        apply_event(state, _started(submitted, number + 1), UndoLog(state))
     held_bytes = resident_bytes() - before
     return {
         'resident_bytes': held_bytes,
-        'snapshot_bytes': len(state.image()),
-        'snapshot_us': time_us(state.image),
+        'snapshot_bytes': len(state.encode_snapshot()),
+        'snapshot_us': time_us(state.encode_snapshot),
     }
 
 
