--- a/src/marjoramwharf/batch/__init__.py
+++ b/src/marjoramwharf/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: durable state, placement, starts and recovery."""
+"""Batch jobs: durable state, placement, task starts and recovery."""
--- a/src/marjoramwharf/batch/capacity.py
+++ b/src/marjoramwharf/batch/capacity.py
@@ -1,7 +1,7 @@
-"""What the job runner needs of the owners of workers.
+"""Interface through which the job runner reserves capacity on workers.
 
-A reservation keeps the size of one task attempt free on one worker, under the
-epoch of that worker's owner. It is released when the outcome of the attempt is
+A reservation holds the capacity for one task attempt on one worker, under the
+epoch of that worker's owner. It is released once the outcome of the attempt is
 durable.
 """
 
@@ -20,8 +20,9 @@
 class ReservationRequest:
     """A task that needs a worker.
 
-    ``fence`` is the fence of the attempt if it starts. ``declared`` is the
-    size that the team stated, ``demand`` the size to reserve.
+    ``fence`` is the fencing token that the attempt gets if it starts.
+    ``declared`` is the size that the team declared, ``demand`` the size to
+    reserve.
     """
 
     task_id: TaskId
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Room for one attempt on a worker."""
+    """Capacity reserved for one attempt on a worker."""
 
     worker_id: WorkerId
     epoch: Epoch
@@ -46,22 +47,26 @@
 class NoWorkerFound:
     """No worker was found.
 
-    ``Reason.NEVER_FITS`` says that no known worker is large enough, even when
-    it is empty; every other reason is temporary.
+    ``Reason.NEVER_FITS`` means that no known worker is large enough even when
+    it is empty. Every other reason is temporary.
     """
 
     reason: Reason = Reason.NO_CAPACITY
 
 
 class CapacityClient(Protocol):
-    """Reservations of worker capacity.
+    """Reserves and releases capacity on workers.
 
     Both methods may raise ``PeerUnreachable``. A reservation whose answer was
-    lost is not used; its owner frees it when the worker reports no such task.
+    lost is not used; the worker's owner frees it when the worker does not
+    report such a task.
     """
 
-    async def reserve(self, ask: ReservationRequest) -> Reservation | NoWorkerFound:
-        """Find a worker and keep room for a task."""
+    async def reserve(
+        self,
+        request: ReservationRequest,
+    ) -> Reservation | NoWorkerFound:
+        """Find a worker and reserve capacity for a task on it."""
 
     async def release(self, reservation_id: str) -> None:
-        """Give room back; a repeat has no effect."""
+        """Release a reservation; a repeat has no effect."""
--- a/src/marjoramwharf/batch/decisions.py
+++ b/src/marjoramwharf/batch/decisions.py
@@ -1,7 +1,7 @@
-"""Decisions of a job shard: functions from its state to events.
+"""Decisions of a job shard: functions from its state to new events.
 
-The journal calls them when it puts a log entry together. A decision that
-changes nothing returns no events.
+The journal calls them when it assembles a log entry. A decision that changes
+nothing returns no events.
 """
 
 from __future__ import annotations
@@ -24,26 +24,28 @@
 from marjoramwharf.machines.calls import TaskPhase, TaskReport
 
 
-def submission(
+def submit_job(
     state: ev.ShardState,
     job_id: JobId,
     spec: JobSpec,
     now_ms: int,
 ) -> list[ev.Event]:
-    """Accept a job; raises ``KeyReused`` for another job with its key."""
-    known = state.jobs.get(job_id)
-    if known is None:
+    """Accept a job; raise ``KeyReused`` if its key belongs to another job."""
+    existing = state.jobs.get(job_id)
+    if existing is None:
         return [ev.JobSubmitted(job_id, spec, now_ms)]
-    if known.spec == spec:
+    if existing.spec == spec:
         return []
-    raise KeyReused(message='the idempotency key belongs to another job')
+    raise KeyReused(
+        message='the idempotency key belongs to a job with another spec',
+    )
 
 
-def cancellation(
+def cancel_jobs(
     state: ev.ShardState,
     job_ids: Sequence[JobId],
 ) -> list[ev.Event]:
-    """Cancel the jobs that are known and not final."""
+    """Cancel those jobs that exist and are not in a final state."""
     return [
         ev.JobCancelled(job_id)
         for job_id in dict.fromkeys(job_ids)
@@ -51,30 +53,33 @@
     ]
 
 
-def start(
+def start_task(
     state: ev.ShardState,
     policy: ShardPolicy,
     task_id: TaskId,
     placement: Placement,
     attempt: int,
 ) -> list[ev.Event]:
-    """Start a task if it may still start."""
+    """Start a task, unless it may no longer start."""
     task = state.tasks.get(task_id)
     if task is None or not may_start(state, policy, task):
         return []
     return [ev.TaskStarted(task_id, attempt, placement)]
 
 
-def end(
+def end_attempt(
     state: ev.ShardState,
     report: TaskReport,
     freed: list[Placement],
 ) -> list[ev.Event]:
-    """Count the end of an attempt once and add its placement to ``freed``."""
+    """End an attempt once and append its placement to ``freed``.
+
+    A report of another attempt, or of one that is still running, has no effect.
+    """
     task = state.tasks.get(report.task_id)
     if task is None or task.state not in HELD_STATES:
         return []
-    event = _end_of(state, task, report)
+    event = _decide_end(state, task, report)
     if event is None or task.fence != report.fence:
         return []
     if task.placement is not None:
@@ -82,30 +87,33 @@
     return [event]
 
 
-def loss(
+def end_attempts_on_worker(
     state: ev.ShardState,
     worker_id: WorkerId,
     freed: list[Placement],
 ) -> list[ev.Event]:
-    """End the attempts on a worker whose instance is gone."""
+    """End the attempts on a worker whose instance no longer exists.
+
+    Their placements are appended to ``freed``.
+    """
     lost = [
         state.tasks[task_id]
         for task_id in state.held_by_worker.get(worker_id, ())
     ]
     freed.extend(task.placement for task in lost if task.placement is not None)
-    return [_loss_of(task) for task in lost]
+    return [_end_lost_attempt(task) for task in lost]
 
 
-def setting_aside(state: ev.ShardState, task_id: TaskId) -> list[ev.Event]:
-    """Mark the job of a waiting task as impossible."""
+def mark_impossible(state: ev.ShardState, task_id: TaskId) -> list[ev.Event]:
+    """Mark the job of a waiting task as impossible to place."""
     task = state.tasks.get(task_id)
     if task is None or task.state is not TaskState.WAITING:
         return []
     return [ev.JobSetAside(task.job_id, Reason.NEVER_FITS)]
 
 
-def reconsideration(state: ev.ShardState) -> list[ev.Event]:
-    """Let all impossible jobs wait again."""
+def reconsider_impossible_jobs(state: ev.ShardState) -> list[ev.Event]:
+    """Return all impossible jobs to the waiting state."""
     return [
         ev.JobReconsidered(job_id)
         for job_id in state.jobs
@@ -113,11 +121,11 @@
     ]
 
 
-def forgetting(
+def forget_jobs(
     state: ev.ShardState,
     job_ids: Sequence[JobId],
 ) -> list[ev.Event]:
-    """Drop final jobs."""
+    """Remove those jobs that are in a final state."""
     return [
         ev.JobForgotten(job_id)
         for job_id in job_ids
@@ -125,7 +133,7 @@
     ]
 
 
-def _end_of(
+def _decide_end(
     state: ev.ShardState,
     task: Task,
     report: TaskReport,
@@ -155,7 +163,7 @@
     )
 
 
-def _loss_of(task: Task) -> ev.Event:
+def _end_lost_attempt(task: Task) -> ev.Event:
     if task.state is TaskState.STOPPING:
         return ev.TaskEnded(task.task_id, task.attempt, TaskState.CANCELLED)
     return ev.TaskReturned(task.task_id, task.attempt, task.checkpoint)
--- a/src/marjoramwharf/batch/estimates.py
+++ b/src/marjoramwharf/batch/estimates.py
@@ -1,8 +1,8 @@
-"""Correction of declared sizes by observed usage, per task class.
+"""Corrects the declared sizes of tasks by the observed usage of their class.
 
-Declared sizes are highly inaccurate. For each class, the ratio of the observed
-to the declared size is kept as a histogram whose counts decay, so that old
-observations lose weight. The estimate is a high quantile of the ratio.
+Declared sizes are highly inaccurate. For each class, the ratios of observed to
+declared size are kept in a histogram whose counts decay, so that old
+observations lose weight. The estimate is a high quantile of these ratios.
 
     >>> ratio = DecayingHistogram(half_life_s=3_600)
     >>> ratio.observe(0.5, now_s=0)
@@ -17,22 +17,23 @@
 
 from marjoramwharf.machines.calls import Demand
 
-# Buckets grow by 5%, which bounds the error of a quantile.
-_GROWTH = 1.05
+# Each bucket is 5% wider than the one before, which bounds the relative error
+# of a quantile.
+_BUCKET_GROWTH = 1.05
 _MIN_RATIO = 0.01
 _MAX_RATIO = 100
 
-# Below this weight, the declared size is used where it is larger.
-_ENOUGH_COUNT = 20
+# With fewer observations (after decay), a declared size is never reduced.
+_MIN_OBSERVATIONS_COUNT = 20
 _QUANTILE = 0.95
 
-# Lighter buckets are dropped, so that an idle class takes no memory.
-_LEAST_WEIGHT = 0.001
+# Buckets below this weight are removed, so that an idle class takes no memory.
+_MIN_BUCKET_WEIGHT = 0.001
 
 
 @dataclass(slots=True)
 class DecayingHistogram:
-    """A decayed histogram of ratios between 0.01 and 100."""
+    """A histogram of ratios between 0.01 and 100 with decaying weights."""
 
     half_life_s: float
     _weights: dict[int, float] = field(default_factory=dict)
@@ -42,44 +43,45 @@
         """Add an observation of weight 1."""
         self._decay(now_s)
         bounded = min(max(ratio, _MIN_RATIO), _MAX_RATIO)
-        bucket = math.ceil(math.log(bounded / _MIN_RATIO, _GROWTH))
+        bucket = math.ceil(math.log(bounded / _MIN_RATIO, _BUCKET_GROWTH))
         self._weights[bucket] = self._weights.get(bucket, 0) + 1
 
     def count(self, now_s: float) -> float:
-        """Return the decayed number of observations."""
+        """Return the number of observations, weighted by their decay."""
         self._decay(now_s)
         return sum(self._weights.values())
 
     def quantile(self, share: float, *, now_s: float) -> float:
-        """Return the upper bound of the bucket that holds the quantile.
+        """Return the upper bound of the bucket that contains a quantile.
 
-        Returns 1 without observations.
+        ``share`` is the quantile, between 0 and 1. Without observations, the
+        result is 1.
         """
-        wanted = self.count(now_s) * share
-        seen: float = 0
+        target_weight = self.count(now_s) * share
+        cumulative: float = 0
         for bucket in sorted(self._weights):
-            seen += self._weights[bucket]
-            if seen >= wanted:
-                return float(_MIN_RATIO * _GROWTH**bucket)
+            cumulative += self._weights[bucket]
+            if cumulative >= target_weight:
+                return float(_MIN_RATIO * _BUCKET_GROWTH**bucket)
         return 1
 
     def _decay(self, now_s: float) -> None:
-        passed_s = now_s - self._decayed_at_s
-        # Decay in steps of a tenth of the half-life keeps observations cheap.
-        if passed_s * 10 < self.half_life_s:
+        elapsed_s = now_s - self._decayed_at_s
+        # Decaying at most ten times per half-life keeps observations cheap.
+        if elapsed_s * 10 < self.half_life_s:
             return
-        factor = math.pow(0.5, passed_s / self.half_life_s)
+        factor = math.pow(0.5, elapsed_s / self.half_life_s)
         self._weights = {
             bucket: weight * factor
             for bucket, weight in self._weights.items()
-            if weight * factor > _LEAST_WEIGHT
+            if weight * factor > _MIN_BUCKET_WEIGHT
         }
         self._decayed_at_s = now_s
 
 
 @dataclass(slots=True)
 class SizeEstimator:
-    """Estimated sizes of tasks, by task class."""
+    """Estimates the sizes of tasks by task class."""
 
     half_life_s: float = 3_600
     _cpu: dict[str, DecayingHistogram] = field(default_factory=dict)
@@ -93,12 +95,12 @@
         *,
         now_s: float,
     ) -> None:
-        """Take in the usage that a worker reports for a task."""
-        self._of(self._cpu, task_class).observe(
+        """Record the usage that a worker reports for a task of a class."""
+        self._histogram_of(self._cpu, task_class).observe(
             used.cpu_millicores / declared.cpu_millicores,
             now_s=now_s,
         )
-        self._of(self._memory, task_class).observe(
+        self._histogram_of(self._memory, task_class).observe(
             used.memory_mb / declared.memory_mb,
             now_s=now_s,
         )
@@ -113,19 +115,20 @@
     ) -> Demand:
         """Return the size to reserve for a task.
 
-        ``used`` is the usage observed for this very task. The result is never
-        below it. Accelerators are not shared, so the declared count stays.
+        ``used`` is the usage observed for this particular task; the result is
+        never below it. Accelerators are not shared between tasks, so their
+        declared count is not corrected.
         """
-        cpu = self._ratio(self._cpu, task_class, now_s)
-        memory = self._ratio(self._memory, task_class, now_s)
+        cpu_ratio = self._estimate_ratio(self._cpu, task_class, now_s)
+        memory_ratio = self._estimate_ratio(self._memory, task_class, now_s)
         observed = used or Demand(0, 0)
         return Demand(
             cpu_millicores=max(
-                math.ceil(declared.cpu_millicores * cpu),
+                math.ceil(declared.cpu_millicores * cpu_ratio),
                 observed.cpu_millicores,
             ),
             memory_mb=max(
-                math.ceil(declared.memory_mb * memory),
+                math.ceil(declared.memory_mb * memory_ratio),
                 observed.memory_mb,
             ),
             accelerators_count=max(
@@ -134,23 +137,26 @@
             ),
         )
 
-    def _ratio(
+    def _estimate_ratio(
         self,
-        ratios: dict[str, DecayingHistogram],
+        histograms: dict[str, DecayingHistogram],
         task_class: str,
         now_s: float,
     ) -> float:
-        ratio = ratios.get(task_class)
-        if ratio is None:
+        histogram = histograms.get(task_class)
+        if histogram is None:
             return 1
-        estimate = ratio.quantile(_QUANTILE, now_s=now_s)
-        if ratio.count(now_s) < _ENOUGH_COUNT:
+        estimate = histogram.quantile(_QUANTILE, now_s=now_s)
+        if histogram.count(now_s) < _MIN_OBSERVATIONS_COUNT:
             return max(1, estimate)
         return estimate
 
-    def _of(
+    def _histogram_of(
         self,
-        ratios: dict[str, DecayingHistogram],
+        histograms: dict[str, DecayingHistogram],
         task_class: str,
     ) -> DecayingHistogram:
-        return ratios.setdefault(task_class, DecayingHistogram(self.half_life_s))
+        return histograms.setdefault(
+            task_class,
+            DecayingHistogram(self.half_life_s),
+        )
--- a/src/marjoramwharf/batch/events.py
+++ b/src/marjoramwharf/batch/events.py
@@ -1,7 +1,7 @@
-"""Events of a job shard and the state that they lead to.
+"""Events of a job shard and the state that results from them.
 
-The state keeps indexes next to the jobs and tasks. They follow from the
-tasks, so that an event can be undone by putting the former values back.
+Besides jobs and tasks, the state holds indexes. They are derived from the
+tasks, so an event is undone by restoring the previous jobs and tasks.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class _Event(Struct, frozen=True, array_like=True, tag=True):
-    """Base of all events; arrays keep an event near 120 bytes."""
+    """Base of all events; encoding as an array keeps one near 120 bytes."""
 
 
 class JobSubmitted(_Event, frozen=True):
@@ -42,7 +42,7 @@
 
 
 class TaskStarted(_Event, frozen=True):
-    """A start was decided; the worker may be called from now on."""
+    """A start was committed; the worker may be called from now on."""
 
     task_id: TaskId
     attempt: int
@@ -50,7 +50,7 @@
 
 
 class TaskReturned(_Event, frozen=True):
-    """An attempt ended without a result; the task waits again."""
+    """An attempt ended without a result; the task is waiting again."""
 
     task_id: TaskId
     attempt: int
@@ -59,7 +59,7 @@
 
 
 class TaskEnded(_Event, frozen=True):
-    """An attempt ended the task."""
+    """An attempt ended and its task reached a final state."""
 
     task_id: TaskId
     attempt: int
@@ -67,26 +67,26 @@
 
 
 class JobCancelled(_Event, frozen=True):
-    """A job was cancelled; its placed tasks are still to be stopped."""
+    """A job was cancelled; its placed tasks still have to be stopped."""
 
     job_id: JobId
 
 
 class JobSetAside(_Event, frozen=True):
-    """The waiting tasks of a job can never run."""
+    """A job was marked impossible: its waiting tasks can never run."""
 
     job_id: JobId
     reason: Reason
 
 
 class JobReconsidered(_Event, frozen=True):
-    """The impossible tasks of a job wait again."""
+    """The impossible tasks of a job are waiting again."""
 
     job_id: JobId
 
 
 class JobForgotten(_Event, frozen=True):
-    """A job in a final state was dropped after its retention time."""
+    """A job in a final state was removed after its retention time."""
 
     job_id: JobId
 
@@ -104,7 +104,7 @@
 
 
 class StateImage(Struct, array_like=True):
-    """The part of a shard's state that a snapshot holds."""
+    """The contents of a snapshot: a shard's state without its indexes."""
 
     last_attempt: int
     jobs: list[Job]
@@ -112,24 +112,26 @@
 
 
 class ShardState:
-    """Jobs and tasks of one shard, with indexes over them."""
+    """Jobs and tasks of one shard, with indexes on them."""
 
     def __init__(self) -> None:
-        """Start without jobs."""
-        # Attempts are numbered across the shard, so that fences of different
-        # jobs with the same exclusive key grow as well.
+        """Create a state without jobs."""
+        # Attempts are numbered across the shard, so that fencing tokens also
+        # increase between different jobs with the same exclusive key.
         self.last_attempt = 0
         self.jobs: dict[JobId, Job] = {}
         self.tasks: dict[TaskId, Task] = {}
         self.job_by_key: dict[tuple[TeamId, str], JobId] = {}
         self.jobs_by_exclusive_key: dict[str, dict[JobId, None]] = {}
-        self.waiting: dict[JobId, dict[TaskId, None]] = {}
-        self.stopping: dict[TaskId, None] = {}
+        self.waiting_by_job: dict[JobId, dict[TaskId, None]] = {}
+        self.stopping_tasks: dict[TaskId, None] = {}
         self.held_by_worker: dict[WorkerId, dict[TaskId, None]] = {}
-        self.placed_millicores_by_team: defaultdict[TeamId, int] = defaultdict(int)
+        self.placed_millicores_by_team: defaultdict[TeamId, int] = defaultdict(
+            int
+        )
 
     def tasks_of(self, job_id: JobId) -> Iterator[Task]:
-        """Iterate over the tasks of a job, in their order."""
+        """Iterate over the tasks of a job, in the order of its spec."""
         return (self.tasks[key] for key in self.jobs[job_id].task_ids)
 
     def state_of(self, job_id: JobId) -> JobState:
@@ -137,7 +139,7 @@
         return derive_job_state({task.state for task in self.tasks_of(job_id)})
 
     def find_key_holder(self, exclusive_key: str) -> JobId | None:
-        """Return the started and open job of an exclusive key."""
+        """Return the job that has started and still holds an exclusive key."""
         for job_id in self.jobs_by_exclusive_key.get(exclusive_key, ()):
             tasks = tuple(self.tasks_of(job_id))
             has_begun = any(task.attempt for task in tasks)
@@ -146,10 +148,10 @@
         return None
 
     def put_job(self, job_id: JobId, job: Job | None) -> Job | None:
-        """Set or remove a job and return the former one."""
+        """Store a job, or remove it for ``None``; return the previous one."""
         former = self.jobs.pop(job_id, None)
         if former is not None:
-            self._unlink_job(former)
+            self._unindex_job(former)
         if job is not None:
             self.jobs[job_id] = job
             spec = job.spec
@@ -163,16 +165,16 @@
         return former
 
     def put_task(self, task_id: TaskId, task: Task | None) -> Task | None:
-        """Set or remove a task and return the former one.
+        """Store a task, or remove it for ``None``; return the previous one.
 
         The task's job must be present.
         """
         former = self.tasks.pop(task_id, None)
         if former is not None:
-            self._unlink_task(former)
+            self._unindex_task(former)
         if task is not None:
             self.tasks[task_id] = task
-            self._link_task(task)
+            self._index_task(task)
         return former
 
     def encode_snapshot(self) -> bytes:
@@ -185,7 +187,7 @@
             ),
         )
 
-    def _unlink_job(self, job: Job) -> None:
+    def _unindex_job(self, job: Job) -> None:
         spec = job.spec
         self.job_by_key.pop((spec.team, spec.idempotency_key), None)
         if spec.exclusive_key is not None:
@@ -194,53 +196,54 @@
             if not same:
                 self.jobs_by_exclusive_key.pop(spec.exclusive_key)
 
-    def _link_task(self, task: Task) -> None:
+    def _index_task(self, task: Task) -> None:
         if task.state is TaskState.WAITING:
-            self.waiting.setdefault(task.job_id, {})[task.task_id] = None
+            self.waiting_by_job.setdefault(task.job_id, {})[task.task_id] = None
         if task.state in HELD_STATES and task.placement is not None:
             if task.state is TaskState.STOPPING:
-                self.stopping[task.task_id] = None
+                self.stopping_tasks[task.task_id] = None
             worker_id = task.placement.worker_id
             on_worker = self.held_by_worker.setdefault(worker_id, {})
             on_worker[task.task_id] = None
-            self._charge(task, 1)
+            self._adjust_team_usage(task, 1)
 
-    def _unlink_task(self, task: Task) -> None:
+    def _unindex_task(self, task: Task) -> None:
         if task.state is TaskState.WAITING:
-            _discard(self.waiting, task.job_id, task.task_id)
+            _remove_from_index(self.waiting_by_job, task.job_id, task.task_id)
         if task.state in HELD_STATES and task.placement is not None:
-            self.stopping.pop(task.task_id, None)
+            self.stopping_tasks.pop(task.task_id, None)
             worker_id = task.placement.worker_id
-            _discard(self.held_by_worker, worker_id, task.task_id)
-            self._charge(task, -1)
+            _remove_from_index(self.held_by_worker, worker_id, task.task_id)
+            self._adjust_team_usage(task, -1)
 
-    def _charge(self, task: Task, sign: int) -> None:
+    def _adjust_team_usage(self, task: Task, sign: int) -> None:
         spec = self.jobs[task.job_id].spec
         size = spec.tasks[task.index].cpu_millicores
         self.placed_millicores_by_team[spec.team] += sign * size
 
 
 class UndoLog:
-    """The former values that a sequence of events replaced."""
+    """The previous values of the jobs and tasks that events changed."""
 
     def __init__(self, state: ShardState) -> None:
-        """Record changes of a state."""
+        """Create an empty log for changes of ``state``."""
         self._state = state
         self._tasks: list[tuple[TaskId, Task | None]] = []
         self._jobs: list[tuple[JobId, Job | None]] = []
 
     def put_task(self, task_id: TaskId, task: Task | None) -> None:
-        """Set a task and keep the former value."""
+        """Store or remove a task and record its previous value."""
         self._tasks.append((task_id, self._state.put_task(task_id, task)))
 
     def put_job(self, job_id: JobId, job: Job | None) -> None:
-        """Set a job and keep the former value."""
+        """Store or remove a job and record its previous value."""
         self._jobs.append((job_id, self._state.put_job(job_id, job)))
 
     def revert(self) -> None:
-        """Put all former values back.
+        """Restore all previous values.
 
-        Tasks need their job, so new tasks go first and old tasks come last.
+        A task needs its job to be present, so the new tasks are removed first
+        and the old tasks are restored last.
         """
         oldest = dict(reversed(self._tasks))
         for task_id in oldest:
@@ -252,9 +255,9 @@
 
 
 def apply_event(state: ShardState, event: Event, undo: UndoLog) -> None:
-    """Change the state by one event.
+    """Apply one event to the state and record the changes in ``undo``.
 
-    Raises ``JournalDamaged`` for a change of state that is not allowed.
+    Raises ``JournalDamaged`` for a state transition that is not allowed.
     """
     match event:
         case JobSubmitted():
@@ -267,28 +270,28 @@
                 undo.put_task(gone, None)
             undo.put_job(event.job_id, None)
         case TaskStarted() | TaskReturned() | TaskEnded():
-            _change_task(state, undo, state.tasks[event.task_id], event)
+            _apply_task_event(state, undo, state.tasks[event.task_id], event)
         case JobCancelled() | JobSetAside() | JobReconsidered():
             for task in tuple(state.tasks_of(event.job_id)):
-                _change_by_job(state, undo, task, event)
+                _apply_job_event(state, undo, task, event)
 
 
 def replay(image: bytes | None, events: Iterable[Event]) -> ShardState:
-    """Return the state that a snapshot and the events after it lead to."""
+    """Rebuild the state from a snapshot and the events after it."""
     state = ShardState()
     if image is not None:
-        read = msgpack.decode(image, type=StateImage)
-        state.last_attempt = read.last_attempt
-        for job in read.jobs:
+        decoded = msgpack.decode(image, type=StateImage)
+        state.last_attempt = decoded.last_attempt
+        for job in decoded.jobs:
             state.put_job(job.job_id, job)
-        for task in read.tasks:
+        for task in decoded.tasks:
             state.put_task(task.task_id, task)
     for event in events:
         apply_event(state, event, UndoLog(state))
     return state
 
 
-def _change_task(
+def _apply_task_event(
     state: ShardState,
     undo: UndoLog,
     task: Task,
@@ -313,10 +316,10 @@
             )
         case TaskEnded():
             changed = structs.replace(task, state=event.state, placement=None)
-    _put(undo, task, changed)
+    _put_transition(undo, task, changed)
 
 
-def _change_by_job(
+def _apply_job_event(
     state: ShardState,
     undo: UndoLog,
     task: Task,
@@ -339,10 +342,10 @@
                 task, state=TaskState.WAITING, reason=None
             )
     if changed is not None:
-        _put(undo, task, changed)
+        _put_transition(undo, task, changed)
 
 
-def _put(undo: UndoLog, task: Task, changed: Task) -> None:
+def _put_transition(undo: UndoLog, task: Task, changed: Task) -> None:
     before, after = task.state.value, changed.state.value
     if not is_transition_allowed(task.state, changed.state):
         raise JournalDamaged(
@@ -355,7 +358,7 @@
     return task.state is TaskState.WAITING or task.state in HELD_STATES
 
 
-def _discard(
+def _remove_from_index(
     index: dict[_Key, dict[TaskId, None]],
     key: _Key,
     task_id: TaskId,
--- a/src/marjoramwharf/batch/http_api.py
+++ b/src/marjoramwharf/batch/http_api.py
@@ -1,7 +1,7 @@
-"""HTTP interface of jobs.
+"""HTTP API of batch jobs.
 
-Each call goes to the owner of the job's shard through ``route``. The job id
-carries its shard; lists and cancellations of many jobs go to several shards.
+Each call is routed to the owner of the job's shard. A job id contains its
+shard. Listing jobs and cancelling many jobs call several shards.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
     JobSpec,
     JobState,
     TaskSpec,
-    shard_of,
     parse_shard_id,
+    shard_of,
 )
 from marjoramwharf.errors import Failure, PeerUnreachable, Reason
 from marjoramwharf.http_bodies import read_body
@@ -38,7 +38,7 @@
 
 
 class JobRequest(Struct, frozen=True, forbid_unknown_fields=True):
-    """Body of ``POST /v1/jobs``; the team and the key are headers."""
+    """Body of ``POST /v1/jobs``; headers carry the team and the key."""
 
     tasks: Annotated[
         tuple[TaskSpec, ...],
@@ -56,7 +56,7 @@
 
 
 class ListQuery(Struct, frozen=True):
-    """Query of ``GET /v1/jobs``."""
+    """Query parameters of ``GET /v1/jobs``."""
 
     team: TeamId | None = None
     state: JobState | None = None
@@ -64,46 +64,46 @@
 
 
 class StatusQuery(Struct, frozen=True):
-    """Query of ``GET /v1/jobs/<id>``."""
+    """Query parameters of ``GET /v1/jobs/<id>``."""
 
     wait_s: Annotated[float, Meta(ge=0, le=_MAX_WAIT_S)] = 0
 
 
 @dataclass(frozen=True, slots=True)
 class JobsApi:
-    """Handlers of the job calls."""
+    """Handlers of the job endpoints; ``route`` calls a shard's owner."""
 
     route: Route
     shard_count: int
     max_body_bytes: int
 
     async def submit(self) -> Response:
-        """Accept a job once it is durable."""
+        """Submit a job and answer with its id once it is durable."""
         body = await _read_limited(self.max_body_bytes)
-        wanted = decode_json(body, JobRequest)
+        parsed = decode_json(body, JobRequest)
         fields = {
             'team': request.headers.get('X-Team', ''),
             'idempotency_key': request.headers.get(
                 'Idempotency-Key',
                 random_id(),
             ),
-            'tasks': wanted.tasks,
-            'exclusive_key': wanted.exclusive_key,
-            'priority': JobPriority[wanted.priority.upper()],
-            'max_failures_count': wanted.max_failures_count,
+            'tasks': parsed.tasks,
+            'exclusive_key': parsed.exclusive_key,
+            'priority': JobPriority[parsed.priority.upper()],
+            'max_failures_count': parsed.max_failures_count,
         }
         spec = convert(fields, JobSpec)
         shard = shard_of(spec, self.shard_count)
-        return _response(await self._ask(shard, calls.SubmitCall(spec)))
+        return _response(await self._call_owner(shard, calls.SubmitCall(spec)))
 
     async def status(self, job_id: str) -> Response:
-        """Report a job."""
+        """Return the status of a job, at the latest after ``wait_s``."""
         query = convert(request.args.to_dict(), StatusQuery, strict=False)
         shard = self._shard_of_id(job_id)
         if shard is None:
             return _error(Reason.UNKNOWN_JOB, f'no job {job_id}')
         call = calls.StatusCall(JobId(job_id), query.wait_s)
-        return _response(await self._ask(shard, call))
+        return _response(await self._call_owner(shard, call))
 
     async def cancel(self, job_id: str) -> Response:
         """Cancel one job."""
@@ -111,21 +111,21 @@
         if shard is None:
             return _error(Reason.UNKNOWN_JOB, f'no job {job_id}')
         call = calls.CancelCall((JobId(job_id),))
-        status, body = await self._ask(shard, call)
+        status, body = await self._call_owner(shard, call)
         if status == 200 and not json.decode(body)['cancelled']:
             return _error(Reason.UNKNOWN_JOB, f'no job {job_id}')
         return _response((status, body))
 
     async def cancel_many(self) -> Response:
-        """Cancel many jobs with one call per shard."""
+        """Cancel many jobs, with one call per shard."""
         body = await _read_limited(self.max_body_bytes)
-        wanted = decode_json(body, CancelRequest)
+        parsed = decode_json(body, CancelRequest)
         by_shard: defaultdict[ShardId, list[JobId]] = defaultdict(list)
-        for job_id in wanted.job_ids:
+        for job_id in parsed.job_ids:
             shard = self._shard_of_id(job_id)
             if shard is not None:
                 by_shard[shard].append(job_id)
-        return await self._gather(
+        return await self._gather_from_shards(
             {
                 shard: calls.CancelCall(tuple(job_ids))
                 for shard, job_ids in by_shard.items()
@@ -138,7 +138,7 @@
         query = convert(request.args.to_dict(), ListQuery, strict=False)
         call = calls.ListCall(query.team, query.state, query.limit)
         shards = map(ShardId, range(self.shard_count))
-        return await self._gather(
+        return await self._gather_from_shards(
             dict.fromkeys(shards, call),
             'jobs',
             limit=query.limit,
@@ -150,7 +150,7 @@
             return None
         return shard
 
-    async def _ask(
+    async def _call_owner(
         self,
         shard: ShardId,
         call: calls.JobCallBody,
@@ -159,31 +159,32 @@
         try:
             return await self.route(shard, str(method), json.encode(call))
         except PeerUnreachable as lost:
-            # The owner may have done the call, which matters for changes.
+            # The owner may have served the call, so the outcome of a call that
+            # changes jobs is unknown.
             return calls.error_answer(
                 lost.reason,
                 lost.message,
                 retry_after_s=lost.retry_after_s,
-                outcome=_outcome_of_lost(call),
+                outcome=_outcome_of_lost_call(call),
             )
         except Failure as failure:
             return calls.failure_answer(failure)
 
-    async def _gather(
+    async def _gather_from_shards(
         self,
-        asked: dict[ShardId, Any],
+        calls_by_shard: dict[ShardId, Any],
         field: str,
         *,
         limit: int | None = None,
     ) -> Response:
-        """Merge the answers of shards; name the shards that gave none."""
+        """Merge the answers of shards; list those that failed separately."""
         found: list[Any] = []
         failed: dict[str, Any] = {}
 
         async with trio.open_nursery() as nursery:
-            for shard, call in asked.items():
+            for shard, call in calls_by_shard.items():
                 nursery.start_soon(
-                    self._collect,
+                    self._collect_answer,
                     shard,
                     call,
                     field,
@@ -195,7 +196,7 @@
         merged = {field: found[:limit], 'failed_shards': failed}
         return _response((200, json.encode(merged)))
 
-    async def _collect(
+    async def _collect_answer(
         self,
         shard: ShardId,
         call: calls.JobCallBody,
@@ -203,7 +204,7 @@
         found: list[Any],
         failed: dict[str, Any],
     ) -> None:
-        status, body = await self._ask(shard, call)
+        status, body = await self._call_owner(shard, call)
         answer = json.decode(body)
         if status == 200:
             found.extend(answer[field])
@@ -217,9 +218,9 @@
     shard_count: int,
     max_body_bytes: int,
 ) -> Blueprint:
-    """Return the routes of the job calls.
+    """Return a blueprint with the job endpoints.
 
-    ``route(shard, method, body)`` passes a call to the shard's owner, which
+    ``route(shard, method, body)`` sends a call to the shard's owner, which
     serves it with ``answer_job_call``.
     """
     api = JobsApi(route, shard_count, max_body_bytes)
@@ -252,7 +253,7 @@
     return body
 
 
-def _outcome_of_lost(call: calls.JobCallBody) -> str:
+def _outcome_of_lost_call(call: calls.JobCallBody) -> str:
     if isinstance(call, (calls.SubmitCall, calls.CancelCall)):
         return 'unknown'
     return 'not_run'
@@ -276,7 +277,7 @@
 
 def _response(answer: calls.Answer) -> Response:
     status, body = answer
-    hint_s: float | None = None
+    retry_after_s: float | None = None
     if status in {202, 429, 503}:
-        hint_s = json.decode(body).get('retry_after_s')
-    return encoded_response(status, body, retry_after_s=hint_s)
+        retry_after_s = json.decode(body).get('retry_after_s')
+    return encoded_response(status, body, retry_after_s=retry_after_s)
--- a/src/marjoramwharf/batch/job.py
+++ b/src/marjoramwharf/batch/job.py
@@ -1,6 +1,6 @@
-"""Values of batch jobs and tasks, and the allowed changes of state.
+"""Data model of batch jobs and tasks, and the allowed state transitions.
 
-A job is a list of tasks. Its state follows from the states of its tasks.
+A job is a list of tasks. Its state is derived from the states of its tasks.
 
     >>> shard_of(JobSpec(TeamId('t'), 'k', (TaskSpec(1, 1, 1),)), 16)
     9
@@ -23,7 +23,7 @@
 
 @enum.unique
 class JobPriority(enum.IntEnum):
-    """Importance of a job; urgent jobs start before all others."""
+    """Priority of a job; urgent jobs start before all others."""
 
     LOW = 0
     NORMAL = 1
@@ -35,9 +35,9 @@
 class TaskState(enum.Enum):
     """State of a task.
 
-    ``PLACED`` means that a start is committed: the task may run. ``STOPPING``
-    is a placed task whose job was cancelled and whose worker has not confirmed
-    the stop yet.
+    ``PLACED`` means that a start is committed, so the task may be running.
+    ``STOPPING`` is a placed task whose job was cancelled and whose worker has
+    not confirmed the stop yet.
     """
 
     WAITING = 'waiting'
@@ -51,7 +51,7 @@
 
 @enum.unique
 class JobState(enum.Enum):
-    """State of a job, derived from its tasks."""
+    """State of a job, derived from the states of its tasks."""
 
     WAITING = 'waiting'
     RUNNING = 'running'
@@ -61,10 +61,10 @@
     IMPOSSIBLE = 'impossible'
 
 
-# States in which a worker may run the task.
+# States in which a worker may be running the task.
 HELD_STATES = frozenset((TaskState.PLACED, TaskState.STOPPING))
 
-# States of a job that no longer changes.
+# States that a job never leaves.
 FINAL_STATES = frozenset(
     (JobState.DONE, JobState.FAILED, JobState.CANCELLED),
 )
@@ -106,7 +106,7 @@
 
     @property
     def demand(self) -> Demand:
-        """The declared size as a message field."""
+        """The declared size in the form that messages carry."""
         return Demand(
             cpu_millicores=self.cpu_millicores,
             memory_mb=self.memory_mb,
@@ -115,7 +115,7 @@
 
 
 class JobSpec(Struct, frozen=True, forbid_unknown_fields=True):
-    """What a team asks for; equal specs are repeats of one submission."""
+    """A job as a team submits it; an equal spec repeats the submission."""
 
     team: Annotated[TeamId, Meta(min_length=1, max_length=64)]
     idempotency_key: Annotated[str, Meta(min_length=1, max_length=128)]
@@ -139,7 +139,7 @@
 
     @property
     def task_ids(self) -> tuple[TaskId, ...]:
-        """Ids of the tasks in the order of the spec."""
+        """Ids of the tasks, in the order of the spec."""
         return tuple(
             TaskId(f'{self.job_id}.{index}')
             for index in range(len(self.spec.tasks))
@@ -147,10 +147,11 @@
 
 
 class Placement(Struct, frozen=True):
-    """Where an attempt may run.
+    """The worker and the reservation of an attempt.
 
-    ``shard_epoch`` and the attempt form its fence; ``worker_epoch`` is the
-    epoch of the capacity owner that made the reservation.
+    ``shard_epoch`` and the attempt number form the fencing token;
+    ``worker_epoch`` is the epoch of the capacity owner that made the
+    reservation.
     """
 
     worker_id: WorkerId
@@ -162,8 +163,8 @@
 class Task(Struct, frozen=True):
     """A task and its latest attempt; attempt 0 means never started.
 
-    ``checkpoint`` is the progress in ms of work that the next attempt resumes
-    from.
+    ``checkpoint`` is the progress, in ms of work, from which the next attempt
+    resumes.
     """
 
     task_id: TaskId
@@ -185,29 +186,29 @@
 
 
 def is_transition_allowed(before: TaskState, after: TaskState) -> bool:
-    """Tell whether a task may go from one state to another."""
+    """Tell whether a task may go from state ``before`` to ``after``."""
     return after in TASK_TRANSITIONS[before]
 
 
 def derive_job_state(states: Collection[TaskState]) -> JobState:
-    """Return the state of a job whose tasks have these states."""
-    found = frozenset(states)
-    if found & HELD_STATES:
+    """Derive the state of a job from the states of its tasks."""
+    present = frozenset(states)
+    if present & HELD_STATES:
         return JobState.RUNNING
-    if TaskState.WAITING in found:
+    if TaskState.WAITING in present:
         return JobState.WAITING
     for state in (
         TaskState.IMPOSSIBLE,
         TaskState.CANCELLED,
         TaskState.FAILED,
     ):
-        if state in found:
+        if state in present:
             return JobState(state.value)
     return JobState.DONE
 
 
 def shard_of(spec: JobSpec, shard_count: int) -> ShardId:
-    """Return the shard of a job, the same in every process."""
+    """Return the shard that a job hashes to, the same in every process."""
     if spec.exclusive_key is None:
         digest = _digest('job', spec.team, spec.idempotency_key)
     else:
@@ -216,20 +217,20 @@
 
 
 def job_id_of(spec: JobSpec, shard: ShardId) -> JobId:
-    """Return the id of a job; it starts with the shard's number."""
+    """Return the id of a job, which starts with the shard's number."""
     digest = _digest(spec.team, spec.idempotency_key)[:18]
     return JobId(f'{shard}-{digest}')
 
 
-def parse_shard_id(known_id: str) -> ShardId | None:
-    """Return the shard of a job or task id, ``None`` if it is malformed."""
-    number, dash, _ = known_id.partition('-')
+def parse_shard_id(job_or_task_id: str) -> ShardId | None:
+    """Return the shard in a job or task id, ``None`` if it is malformed."""
+    number, dash, _ = job_or_task_id.partition('-')
     if not dash or not number.isdecimal() or not number.isascii():
         return None
     return ShardId(int(number))
 
 
 def _digest(*parts: str) -> str:
-    # The length prefix keeps ('ab', 'c') and ('a', 'bc') apart.
+    # Length prefixes give ('ab', 'c') and ('a', 'bc') different digests.
     text = ''.join(f'{len(part)}:{part}' for part in parts)
     return hashlib.sha256(text.encode()).hexdigest()
--- a/src/marjoramwharf/batch/job_calls.py
+++ b/src/marjoramwharf/batch/job_calls.py
@@ -1,7 +1,7 @@
-"""Job calls between an entry and the owner of a shard, and their answers.
+"""Job calls from an entry to the owner of a shard, and their answers.
 
 Calls and answers are JSON. ``answer_job_call`` serves a call at the owner,
-whether it comes from a peer or from this entry's HTTP interface.
+whether it comes from a peer or from this entry's own HTTP interface.
 """
 
 from __future__ import annotations
@@ -22,26 +22,29 @@
 
 
 class SubmitCall(Struct, frozen=True, tag='submit'):
-    """Accept a job."""
+    """Submits a job."""
 
     spec: JobSpec
 
 
 class StatusCall(Struct, frozen=True, tag='status'):
-    """Report a job, at once or when it is final."""
+    """Asks for the status of a job.
+
+    The answer comes when the job is final, after ``wait_s`` at the latest.
+    """
 
     job_id: JobId
     wait_s: float = 0
 
 
 class CancelCall(Struct, frozen=True, tag='cancel'):
-    """Cancel jobs of one shard."""
+    """Cancels jobs of one shard."""
 
     job_ids: tuple[JobId, ...]
 
 
 class ListCall(Struct, frozen=True, tag='list'):
-    """List the latest jobs of one shard."""
+    """Asks for the latest jobs of one shard."""
 
     team: TeamId | None = None
     state: JobState | None = None
@@ -50,7 +53,7 @@
 
 JobCallBody: TypeAlias = SubmitCall | StatusCall | CancelCall | ListCall
 
-# A union is no class for the type checker; msgspec decodes into it.
+# The type checker does not accept a union as a class; msgspec decodes into it.
 _JOB_CALL: type[JobCallBody] = JobCallBody  # type: ignore[assignment]
 
 
@@ -71,7 +74,10 @@
 
 
 def failure_answer(failure: Failure) -> Answer:
-    """Return the answer for a failure; a lost answer is "unknown"."""
+    """Return the answer for a failure.
+
+    Its outcome is "unknown" after a lost answer of the store.
+    """
     return error_answer(
         failure.reason,
         failure.message,
@@ -86,7 +92,7 @@
     retry_after_s: float | None = None,
     outcome: str | None = None,
 ) -> Answer:
-    """Return a typed error with the status of its reason."""
+    """Return an error body with its reason and the matching HTTP status."""
     is_unknown = reason is Reason.STORE_ANSWER_LOST or outcome == 'unknown'
     body = ErrorBody(
         'unknown' if is_unknown else 'not_run',
@@ -104,7 +110,10 @@
     now_ms: int,
 ) -> Answer:
     if shard is None:
-        raise NotOwner(message='the shard has no owner here', retry_after_s=1)
+        raise NotOwner(
+            message='this entry does not own the shard of the job',
+            retry_after_s=1,
+        )
     match call:
         case SubmitCall():
             job_id = await shard.submit(call.spec, now_ms)
@@ -113,8 +122,8 @@
             status = await shard.wait(call.job_id, max(call.wait_s, 0))
             return 200, json.encode(status_fields(status))
         case CancelCall():
-            known = await shard.cancel(call.job_ids)
-            return 200, json.encode({'cancelled': known})
+            cancelled = await shard.cancel(call.job_ids)
+            return 200, json.encode({'cancelled': cancelled})
         case ListCall():
             found = await shard.list_jobs(
                 team=call.team,
@@ -126,7 +135,7 @@
 
 
 def status_fields(status: JobStatus) -> dict[str, Any]:
-    """Return the JSON fields of a job's status."""
+    """Convert a job's status to the fields of its JSON object."""
     fields = asdict(status)
     fields['task_counts'] = {
         state.value: count for state, count in status.task_counts.items()
--- a/src/marjoramwharf/batch/journal.py
+++ b/src/marjoramwharf/batch/journal.py
@@ -1,12 +1,12 @@
 """Durable state of one job shard: group commit, snapshots and recovery.
 
-One write of a shard is under way at a time. Proposals that arrive meanwhile
-are queued and go into the next log entry together. A proposal is a function
-of the state that returns events; it is called when its entry is put together,
-so that it sees the effect of every earlier event.
+At most one write per shard is in flight. Proposals that arrive meanwhile are
+queued and committed together in the next log entry. A proposal is a function
+from the state to events; it is called when its entry is assembled, so that it
+sees the effect of every earlier event.
 
-Every write is guarded by the revision of the ownership record, so that the
-store refuses the writes of a former owner.
+Every write is conditional on the revision of the ownership record, so that the
+store rejects the writes of a former owner.
 """
 
 from __future__ import annotations
@@ -48,39 +48,39 @@
 
 _LOG = part_logger('journal')
 
-# An entry stays well below the 1 MB that the store takes for a value; one
-# proposal may add a job of 256 KB to it.
-_ENTRY_BYTES = 500_000
+# Keeps an entry well below the store's limit of 1 MB for a value: the last
+# proposal of a group may add a job of 256 KB.
+_MAX_ENTRY_BYTES = 500_000
 
-# The store's default limit is 128 operations in a transaction.
+# The store allows 128 operations in a transaction by default.
 _MAX_DELETES_COUNT = 100
 
-_SETTLE_PAUSE_S = 0.2
+_READ_BACK_PAUSE_S = 0.2
 _RETRY_AFTER_S = 2.0
 
 
 class LogEntry(Struct, frozen=True, array_like=True):
-    """One group commit; the nonce tells whose write it is."""
+    """One group commit; the nonce identifies the write that stored it."""
 
     nonce: str
     events: tuple[Event, ...]
 
 
 @dataclass(slots=True, eq=False)
-class _Waiting:
-    """A queued proposal; ``failure`` is set when it was not committed."""
+class _PendingProposal:
+    """A queued proposal; ``failure`` is set if its commit failed."""
 
     propose: Proposal
     settled: trio.Event = field(default_factory=trio.Event)
-    taken: bool = False
+    is_taken: bool = False
     failure: Failure | None = None
 
 
 class Journal:
     """The log and the snapshots of one shard under ``/jobs/<shard>/``.
 
-    ``state`` includes the events of the write under way; ``durable`` waits
-    until that write is settled. ``run`` is the only writer.
+    ``state`` includes the events of the write in flight; ``wait_until_durable``
+    waits until that write is settled. ``run`` is the only writer.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         commit_interval_s: float = 0,
         timeout_s: float = 5,
     ) -> None:
-        """Prepare a journal; ``recover`` must be called before ``run``."""
+        """Create a journal; ``recover`` must be called before ``run``."""
         self.state = ShardState()
         self.is_ownership_lost = False
         self._store = store
@@ -107,14 +107,14 @@
         self._last_seq = 0
         self._log_keys: list[str] = []
         self._snapshot_keys: list[str] = []
-        self._queue: list[_Waiting] = []
+        self._queue: list[_PendingProposal] = []
         self._wake = trio.Event()
-        self._in_write: list[_Waiting] = []
+        self._writing: list[_PendingProposal] = []
 
     async def recover(self) -> None:
-        """Read the state with one call.
+        """Load the state from the store with one call.
 
-        Raises ``StoreUnavailable``, or ``JournalDamaged`` when an entry is
+        Raises ``StoreUnavailable``, or ``JournalDamaged`` if a log entry is
         missing.
         """
         reading = await self._store.read_prefix(
@@ -129,45 +129,47 @@
         self._last_seq = last_seq
 
     async def commit(self, propose: Proposal) -> None:
-        """Return when the proposed events are durable.
+        """Queue a proposal and return when its events are durable.
 
-        Raises ``StoreUnavailable`` or ``NotOwner`` if they are proved not to
-        be and ``StoreAnswerLost`` if that is not known in time. A cancelled
-        caller withdraws the proposal unless its write has begun.
+        Raises ``StoreUnavailable`` or ``NotOwner`` if they are certainly not
+        durable, and ``StoreAnswerLost`` if that can't be determined before the
+        timeout. Cancelling the call withdraws the proposal unless its write
+        has begun.
         """
         if self.is_ownership_lost:
             raise NotOwner(message='the shard has another owner')
-        waiting = _Waiting(propose)
-        self._queue.append(waiting)
+        pending = _PendingProposal(propose)
+        self._queue.append(pending)
         self._wake.set()
         with trio.move_on_after(self._timeout_s):
             try:
-                await waiting.settled.wait()
+                await pending.settled.wait()
             except trio.Cancelled:
-                if not waiting.taken:
-                    self._queue.remove(waiting)
+                if not pending.is_taken:
+                    self._queue.remove(pending)
                 raise
-        if not waiting.settled.is_set():
-            waiting.failure = _late(waiting)
-        if waiting.failure is not None:
-            raise waiting.failure
+        if not pending.settled.is_set():
+            pending.failure = _timeout_failure(pending)
+        if pending.failure is not None:
+            raise pending.failure
 
-    async def durable(self) -> None:
-        """Wait until no event of ``state`` is part of an unsettled write.
+    async def wait_until_durable(self) -> None:
+        """Wait until no event in ``state`` belongs to an unsettled write.
 
-        Raises ``StoreUnavailable`` if the store does not settle it in time.
+        Raises ``StoreUnavailable`` if the write is not settled before the
+        timeout.
         """
         with trio.move_on_after(self._timeout_s):
-            for waiting in tuple(self._in_write):
-                await waiting.settled.wait()
+            for pending in tuple(self._writing):
+                await pending.settled.wait()
             return
         raise StoreUnavailable(
-            message='a write of the shard is not settled',
+            message='the outcome of a write of the shard is not known yet',
             retry_after_s=_RETRY_AFTER_S,
         )
 
     async def run(self) -> None:
-        """Write queued proposals until the shard has another owner."""
+        """Commit queued proposals until the shard has another owner."""
         try:
             while not self.is_ownership_lost:
                 await self._write_queue()
@@ -178,10 +180,10 @@
             self._fail_all()
 
     async def snapshot(self) -> None:
-        """Write the state in parts, then delete what it replaces.
+        """Write a snapshot in parts, then delete the entries it replaces.
 
-        The parts count only when all of them are present, so a half-written
-        snapshot is ignored and the log before it is still there.
+        A snapshot is used only if all of its parts are present. One that is
+        half-written is ignored, and the log before it still exists.
         """
         image = self.state.encode_snapshot()
         size = self._part_bytes
@@ -194,18 +196,18 @@
             )
             for index in range(count)
         ]
-        garbage = self._log_keys + self._snapshot_keys
+        replaced_keys = self._log_keys + self._snapshot_keys
         written = [part.key for part in parts]
         self._snapshot_keys = self._snapshot_keys + written
         for part in parts:
-            await self._guarded([part])
-        for start in range(0, len(garbage), _MAX_DELETES_COUNT):
-            removed = garbage[start : start + _MAX_DELETES_COUNT]
-            await self._guarded([Write(old, None) for old in removed])
+            await self._commit_guarded([part])
+        for start in range(0, len(replaced_keys), _MAX_DELETES_COUNT):
+            removed = replaced_keys[start : start + _MAX_DELETES_COUNT]
+            await self._commit_guarded([Write(old, None) for old in removed])
         self._log_keys = []
         self._snapshot_keys = written
 
-    async def _guarded(self, writes: Sequence[Write]) -> None:
+    async def _commit_guarded(self, writes: Sequence[Write]) -> None:
         outcome = await self._store.commit(
             [self._owner],
             writes,
@@ -229,7 +231,7 @@
         try:
             await self.snapshot()
         except Failure as failure:
-            # The next commit tries again; the log is complete without it.
+            # The next commit tries again. The log alone is complete.
             _LOG.warning('snapshot not written', reason=failure.reason.value)
 
     async def _write_group(self) -> None:
@@ -240,22 +242,22 @@
             failure = await self._write_entry(events)
         if failure is not None and not isinstance(failure, StoreAnswerLost):
             undo.revert()
-        for waiting in self._in_write:
-            waiting.failure = waiting.failure or failure
-            waiting.settled.set()
-        self._in_write = []
+        for pending in self._writing:
+            pending.failure = pending.failure or failure
+            pending.settled.set()
+        self._writing = []
 
     def _take_group(self, undo: UndoLog) -> list[Event]:
         events: list[Event] = []
         size = 0
-        while self._queue and size < _ENTRY_BYTES:
-            waiting = self._queue.pop(0)
-            waiting.taken = True
-            self._in_write.append(waiting)
+        while self._queue and size < _MAX_ENTRY_BYTES:
+            pending = self._queue.pop(0)
+            pending.is_taken = True
+            self._writing.append(pending)
             try:
-                proposed = waiting.propose(self.state)
+                proposed = pending.propose(self.state)
             except Failure as failure:
-                waiting.failure = failure
+                pending.failure = failure
                 continue
             for event in proposed:
                 apply_event(self.state, event, undo)
@@ -267,7 +269,7 @@
         name = _entry_name(self._last_seq + 1)
         key = f'{self._prefix}log/{name}'
         body = msgpack.encode(LogEntry(random_id(), tuple(events)))
-        failure = await self._write_until_known(key, body)
+        failure = await self._write_until_settled(key, body)
         if failure is None:
             self._last_seq += 1
             self._log_keys.append(key)
@@ -275,30 +277,34 @@
             self.is_ownership_lost = True
         return failure
 
-    async def _write_until_known(
+    async def _write_until_settled(
         self,
         key: str,
         body: bytes,
     ) -> Failure | None:
-        """Write an entry and return why it is not durable, or ``None``.
+        """Write an entry; return ``None``, or why it is not durable.
 
-        After a lost answer, the entry is read back and, if it is absent,
-        written again with the same body under the same key. Giving up at that
-        point would report "not run" for a write that may still arrive.
+        After a lost answer, the entry is read back and, if absent, written
+        again with the same body under the same key. Giving up instead would
+        report "not run" for a write that may still reach the store.
         """
         outcome = await self._write_once(key, body)
-        in_doubt = isinstance(outcome, StoreAnswerLost)
-        while in_doubt:
+        is_in_doubt = isinstance(outcome, StoreAnswerLost)
+        while is_in_doubt:
             if await self._is_written(key, body):
                 return None
             outcome = await self._write_once(key, body)
-            in_doubt = isinstance(outcome, Failure) and not isinstance(
+            is_in_doubt = isinstance(outcome, Failure) and not isinstance(
                 outcome,
                 NotOwner,
             )
             if isinstance(outcome, NotOwner):
-                # A new owner may have replaced the entry by a snapshot.
-                return None if await self._is_written(key, body) else _unknown()
+                # A new owner may have replaced the entry with a snapshot.
+                return (
+                    None
+                    if await self._is_written(key, body)
+                    else _unsettled_failure()
+                )
         return outcome
 
     async def _write_once(self, key: str, body: bytes) -> Failure | None:
@@ -320,7 +326,7 @@
             try:
                 stored = await self._store.read(key, urgency=Urgency.JOB)
             except Failure:
-                await trio.sleep(_SETTLE_PAUSE_S)
+                await trio.sleep(_READ_BACK_PAUSE_S)
             else:
                 return stored is not None and stored.body == body
 
@@ -328,30 +334,32 @@
         for queued in self._queue:
             queued.failure = NotOwner(message='the shard has another owner')
             queued.settled.set()
-        for writing in self._in_write:
-            writing.failure = writing.failure or _unknown()
+        for writing in self._writing:
+            writing.failure = writing.failure or _unsettled_failure()
             writing.settled.set()
         self._queue = []
-        self._in_write = []
+        self._writing = []
 
 
-def _late(waiting: _Waiting) -> Failure:
-    if waiting.taken:
-        return StoreAnswerLost(message='the write is not settled yet')
+def _timeout_failure(pending: _PendingProposal) -> Failure:
+    if pending.is_taken:
+        return StoreAnswerLost(
+            message='the outcome of the write is not known yet',
+        )
     return StoreUnavailable(
-        message='the write did not begin in time',
+        message='the write did not begin before the timeout',
         retry_after_s=_RETRY_AFTER_S,
     )
 
 
-def _unknown() -> StoreAnswerLost:
+def _unsettled_failure() -> StoreAnswerLost:
     return StoreAnswerLost(
-        message='the shard was given up before the write was settled',
+        message='ownership ended before the outcome of the write was known',
     )
 
 
 def _snapshot_name(through_seq: int) -> str:
-    # The nonce keeps the parts of two owners' snapshots apart.
+    # The nonce keeps the parts of snapshots by two owners apart.
     nonce = random_id()
     through = _entry_name(through_seq)
     return f'{through}-{nonce}'
@@ -367,7 +375,7 @@
 
 
 def read_state(reading: PrefixReading) -> tuple[ShardState, int]:
-    """Return the state of a shard and the number of its last log entry."""
+    """Restore a shard's state; return it and the last log entry's number."""
     entries: dict[int, bytes] = {}
     snapshots: dict[str, dict[str, bytes]] = {}
     for stored in reading.found:
--- a/src/marjoramwharf/batch/ordering.py
+++ b/src/marjoramwharf/batch/ordering.py
@@ -1,4 +1,4 @@
-"""Which tasks of a job shard may start, and in which order."""
+"""Decides which tasks of a job shard may start, and in which order."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardPolicy:
-    """Rules for the order of starts.
+    """Quotas, priority aging and retention of one shard.
 
-    ``quota_millicores`` gives the processors that a team's placed tasks may
-    ask for on this shard; it is the team's quota divided by the number of
-    shards. A job gains one level of priority per ``aging_ms`` of waiting.
+    ``quota_millicores`` returns the CPU that a team's placed tasks may declare
+    in total on this shard: the team's quota divided by the number of shards.
+    A job gains one level of priority per ``aging_ms`` of waiting. Jobs in a
+    final state are removed after ``retention_ms``.
     """
 
     quota_millicores: Callable[[TeamId], int]
@@ -30,18 +31,18 @@
     retention_ms: int = 86_400_000
 
 
-class _Quotas:
-    """Processors per team, with the tasks chosen so far."""
+class _QuotaTracker:
+    """CPU charged to each team: placed tasks and those chosen so far."""
 
     def __init__(self, state: ShardState, policy: ShardPolicy) -> None:
         self._used = dict(state.placed_millicores_by_team)
         self._policy = policy
 
-    def take(self, job: Job, task: Task) -> bool:
+    def try_charge(self, job: Job, task: Task) -> bool:
         """Charge a task to its team unless that exceeds the quota.
 
-        A single task above a shard's part of the quota may run, since it
-        could never start otherwise.
+        A team without other placed tasks may start one task above the shard's
+        share of the quota, since that task could never start otherwise.
         """
         team = job.spec.team
         size = job.spec.tasks[task.index].cpu_millicores
@@ -53,15 +54,15 @@
 
 
 def ready_tasks(state: ShardState, policy: ShardPolicy) -> Iterator[Task]:
-    """Return tasks that may start together, the most important first.
+    """Yield tasks that may start together, the most important first.
 
-    The order does not depend on the present time: a job that waits gains
-    priority at the same rate as all others.
+    The order does not depend on the current time, because all waiting jobs
+    gain priority at the same rate.
     """
-    quotas = _Quotas(state, policy)
+    quotas = _QuotaTracker(state, policy)
     for job in _startable_jobs(state, policy):
         for task in _startable_tasks(state, job):
-            if not quotas.take(job, task):
+            if not quotas.try_charge(job, task):
                 break
             yield task
 
@@ -72,12 +73,12 @@
         return False
     job = state.jobs[task.job_id]
     key = job.spec.exclusive_key
-    if key is not None and not _key_is_free(state, key, task.job_id):
+    if key is not None and not _is_key_free(state, key, task.job_id):
         return False
-    return _Quotas(state, policy).take(job, task)
+    return _QuotaTracker(state, policy).try_charge(job, task)
 
 
-def _rank(job: Job, aging_ms: int) -> tuple[bool, int, JobId]:
+def _sort_key(job: Job, aging_ms: int) -> tuple[bool, int, JobId]:
     priority = job.spec.priority
     return (
         priority is not JobPriority.URGENT,
@@ -90,26 +91,29 @@
     taken: set[str] = set()
     startable: list[Job] = []
     ranked = sorted(
-        _rank(state.jobs[job_id], policy.aging_ms) for job_id in state.waiting
+        _sort_key(state.jobs[job_id], policy.aging_ms)
+        for job_id in state.waiting_by_job
     )
     for _, _, ranked_id in ranked:
         job = state.jobs[ranked_id]
         key = job.spec.exclusive_key
         if key is None:
             startable.append(job)
-        elif key not in taken and _key_is_free(state, key, job.job_id):
+        elif key not in taken and _is_key_free(state, key, job.job_id):
             taken.add(key)
             startable.append(job)
     return startable
 
 
 def _startable_tasks(state: ShardState, job: Job) -> list[Task]:
-    waiting = [state.tasks[task_id] for task_id in state.waiting[job.job_id]]
-    # Tasks of an exclusive job run one at a time as well.
+    waiting = [
+        state.tasks[task_id] for task_id in state.waiting_by_job[job.job_id]
+    ]
+    # The tasks of one exclusive job also run one at a time.
     return waiting if job.spec.exclusive_key is None else waiting[:1]
 
 
-def _key_is_free(state: ShardState, key: str, job_id: JobId) -> bool:
+def _is_key_free(state: ShardState, key: str, job_id: JobId) -> bool:
     if state.find_key_holder(key) not in {None, job_id}:
         return False
     return not any(
--- a/src/marjoramwharf/batch/outcomes.py
+++ b/src/marjoramwharf/batch/outcomes.py
@@ -1,7 +1,7 @@
 """Commits the ends of attempts and then releases their reservations.
 
-What fails because the store or a peer is out of reach is tried again, since
-the worker may report an end only once.
+Steps that fail because the store or a peer is unreachable are retried, since a
+worker may report an end only once.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 import trio
 
 from marjoramwharf.batch.capacity import CapacityClient
-from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.batch.job import Placement, parse_shard_id
 from marjoramwharf.batch.shard import JobShard
+from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.errors import Failure
 from marjoramwharf.ids import JobId, ShardId, WorkerId
 from marjoramwharf.logs import part_logger
@@ -23,100 +23,109 @@
 
 
 class OutcomeCommitter:
-    """Ends of attempts that are not durable or not released yet."""
+    """Keeps ends of attempts until they are committed and released."""
 
     def __init__(
         self,
         shards: Mapping[ShardId, JobShard],
         capacity: CapacityClient,
-        failing: WorkerFailureTracker,
+        worker_failures: WorkerFailureTracker,
     ) -> None:
-        """Work on the owned shards, which change over time."""
+        """Start with nothing to retry; ``shards`` are those owned at present."""
         self._shards = shards
         self._capacity = capacity
-        self._failing = failing
+        self._worker_failures = worker_failures
         self._uncommitted: dict[TaskReport, None] = {}
         self._unreleased: dict[str, None] = {}
-        self._gone: dict[WorkerId, None] = {}
+        self._gone_workers: dict[WorkerId, None] = {}
 
-    async def finish(self, report: TaskReport) -> None:
-        """Commit the end of an attempt, now or by ``retry``."""
+    async def commit_end(self, report: TaskReport) -> None:
+        """Commit the end of an attempt, now or in a later ``retry``."""
         shard_id = parse_shard_id(report.task_id)
         shard = None if shard_id is None else self._shards.get(shard_id)
         if shard is None:
-            # The new owner learns the end from the worker.
+            # The shard's new owner learns of the end from the worker.
             self._uncommitted.pop(report, None)
             return
         self._uncommitted[report] = None
         try:
-            placement = await shard.record(report)
+            placement = await shard.record_end(report)
         except Failure as failure:
-            _LOG.warning('end not committed', reason=failure.reason.value)
+            _LOG.warning(
+                'end of attempt not committed',
+                reason=failure.reason.value,
+            )
             return
         self._uncommitted.pop(report, None)
         if placement is not None:
-            self._judge(placement.worker_id, report)
+            self._track_worker(placement.worker_id, report)
             await self.release(placement.reservation_id)
 
     async def release(self, reservation_id: str) -> None:
-        """Release a reservation, now or by ``retry``."""
+        """Release a reservation, now or in a later ``retry``."""
         self._unreleased[reservation_id] = None
         try:
             await self._capacity.release(reservation_id)
         except Failure as failure:
-            _LOG.warning('room not released', reason=failure.reason.value)
+            _LOG.warning(
+                'reservation not released',
+                reason=failure.reason.value,
+            )
             return
         self._unreleased.pop(reservation_id, None)
 
-    def instance_gone(self, worker_id: WorkerId) -> None:
-        """Note that the platform's list lost an instance."""
-        self._gone[worker_id] = None
+    def mark_instance_gone(self, worker_id: WorkerId) -> None:
+        """Record that an instance left the platform's list."""
+        self._gone_workers[worker_id] = None
 
-    def instance_seen(self, worker_id: WorkerId) -> None:
-        """Note that an instance answered after all."""
-        self._gone.pop(worker_id, None)
+    def mark_instance_seen(self, worker_id: WorkerId) -> None:
+        """Record that an instance has answered and is not gone."""
+        self._gone_workers.pop(worker_id, None)
 
     async def run(self, pause_s: float) -> None:
-        """Call ``retry`` again and again."""
+        """Call ``retry`` periodically until cancelled."""
         while True:
             await trio.sleep(pause_s)
             await self.retry()
 
     async def retry(self) -> None:
-        """Try everything again that has failed so far."""
+        """Retry all commits and releases that have failed so far."""
         async with trio.open_nursery() as nursery:
             for report in tuple(self._uncommitted):
-                nursery.start_soon(self.finish, report)
+                nursery.start_soon(self.commit_end, report)
             for reservation_id in tuple(self._unreleased):
                 nursery.start_soon(self.release, reservation_id)
-            for worker_id in tuple(self._gone):
-                nursery.start_soon(self._lose, worker_id)
+            for worker_id in tuple(self._gone_workers):
+                nursery.start_soon(self._end_attempts_on, worker_id)
 
-    async def _lose(self, worker_id: WorkerId) -> None:
+    async def _end_attempts_on(self, worker_id: WorkerId) -> None:
         freed: list[Placement] = []
         try:
             for shard in tuple(self._shards.values()):
-                freed.extend(await shard.instance_gone(worker_id))
+                freed.extend(await shard.end_attempts_on(worker_id))
         except Failure as failure:
-            _LOG.warning('loss not committed', reason=failure.reason.value)
+            _LOG.warning(
+                'end of attempts on lost worker not committed',
+                reason=failure.reason.value,
+            )
         else:
-            self._gone.pop(worker_id, None)
+            self._gone_workers.pop(worker_id, None)
         for placement in freed:
             await self.release(placement.reservation_id)
 
-    def _judge(self, worker_id: WorkerId, report: TaskReport) -> None:
+    def _track_worker(self, worker_id: WorkerId, report: TaskReport) -> None:
         if report.phase is TaskPhase.FINISHED:
-            self._failing.succeeded(worker_id)
+            self._worker_failures.record_success(worker_id)
         if report.phase is TaskPhase.FAILED:
             job_id = JobId(report.task_id.rpartition('.')[0])
-            pause = self._failing.failed(
+            exclusion = self._worker_failures.record_failure(
                 worker_id,
                 job_id,
                 trio.current_time(),
             )
-            if pause is not None:
+            if exclusion is not None:
                 _LOG.warning(
-                    'worker set aside',
+                    'worker excluded after failures',
                     worker=worker_id,
-                    reason=pause.reason.value,
+                    reason=exclusion.reason.value,
                 )
--- a/src/marjoramwharf/batch/placement.py
+++ b/src/marjoramwharf/batch/placement.py
@@ -1,9 +1,9 @@
-"""Index of workers by free capacity, to place one task.
+"""Index of workers by free capacity, which places single tasks.
 
-A decision looks at a bounded sample of workers, so that its cost does not grow
-with their number. Workers are kept in buckets by free accelerators and
-processors (powers of two); a bucket is a list with constant-time insertion,
-removal and random choice. The sample starts with the smallest bucket that can
+Each placement scores a bounded sample of workers, so that its cost does not
+grow with their number. Workers are kept in buckets by free accelerators and
+free CPU (powers of two); a bucket is a list with constant-time insertion,
+removal and random choice. Sampling starts with the smallest bucket that can
 hold the task, so that large gaps stay free for large tasks.
 """
 
@@ -19,20 +19,21 @@
 from marjoramwharf.machines.calls import Demand
 from marjoramwharf.machines.worker import Worker
 
-# Bounds of one decision: workers that are scored, and workers that are looked
-# at in each bucket. A fitting worker can be missed when most workers of a
-# bucket lack memory; the next decision takes another sample.
-_SAMPLE_COUNT = 16
-_PROBES_COUNT = 64
+# Limits of one placement: workers scored in total, and workers examined in
+# each bucket. A worker that fits can be missed when most workers of its bucket
+# lack memory; the next placement draws another sample.
+_MAX_SCORED_COUNT = 16
+_MAX_PROBES_PER_BUCKET_COUNT = 64
 
-# Shares of the score; a penalty of 1 equals a task on a full rack.
+# Weights of the score's terms next to the penalty, which has weight 1: a rack
+# with all tasks of the job costs 0.5, an empty worker at most 0.25.
 _RACK_WEIGHT = 0.5
 _FIT_WEIGHT = 0.25
 
 
 @enum.unique
 class NoFit(enum.Enum):
-    """Why no worker was found."""
+    """Why no worker was found for a task."""
 
     FULL = 'full'
     TOO_LARGE = 'too_large'
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """A task to place; ``job`` groups the tasks to spread over racks."""
+    """A task to place; tasks with the same ``job`` are spread over racks."""
 
     task_id: TaskId
     job: str
@@ -51,22 +52,26 @@
 
 
 @dataclass(slots=True)
-class _Held:
-    """A worker, what is free on it, and until when it takes no tasks."""
+class _IndexedWorker:
+    """A worker with its free and total capacity, its bucket and its tasks.
+
+    It takes no tasks before ``cordoned_until_s``.
+    """
 
     worker: Worker
     free: Demand
-    whole: Demand
+    total: Demand
     bucket: tuple[int, int] = (-1, -1)
     position: int = -1
-    closed_until_s: float = 0
+    cordoned_until_s: float = 0
     tasks: dict[TaskId, tuple[Demand, str]] = field(default_factory=dict)
 
 
 class PlacementIndex:
     """Workers of one capacity owner, with the tasks placed on them.
 
-    ``penalty`` is the expected harm, 0 for none, of a task class on a worker.
+    ``penalty`` returns the interference expected from a task class on a worker
+    at a time; 0 means none.
     """
 
     def __init__(
@@ -75,16 +80,16 @@
         *,
         seed: int = 0,
     ) -> None:
-        """Start without workers; the seed makes the samples repeatable."""
+        """Create an empty index; the seed makes the samples repeatable."""
         self._penalty = penalty
         self._random = random.Random(seed)
-        self._held: dict[WorkerId, _Held] = {}
-        self._buckets: dict[tuple[int, int], list[_Held]] = {}
-        self._sizes: Counter[Demand] = Counter()
-        self._racks: dict[str, Counter[RackId]] = {}
+        self._workers: dict[WorkerId, _IndexedWorker] = {}
+        self._buckets: dict[tuple[int, int], list[_IndexedWorker]] = {}
+        self._capacity_counts: Counter[Demand] = Counter()
+        self._job_racks: dict[str, Counter[RackId]] = {}
 
     def add(self, worker: Worker, reserved: Demand) -> None:
-        """Add a worker; ``reserved`` is kept free for its services."""
+        """Add a worker, or replace it; ``reserved`` stays free for services."""
         capacity = worker.capacity
         free = Demand(
             capacity.cpu_millicores - reserved.cpu_millicores,
@@ -92,45 +97,45 @@
             capacity.accelerators_count - reserved.accelerators_count,
         )
         self.remove(worker.worker_id)
-        held = _Held(worker, free, whole=free)
-        self._sizes[free] += 1
-        self._held[worker.worker_id] = held
-        self._file(held)
+        indexed = _IndexedWorker(worker, free, total=free)
+        self._capacity_counts[free] += 1
+        self._workers[worker.worker_id] = indexed
+        self._add_to_bucket(indexed)
 
     def remove(self, worker_id: WorkerId) -> None:
-        """Remove a worker and what is placed on it."""
-        held = self._held.get(worker_id)
-        if held is None:
+        """Remove a worker and the tasks placed on it."""
+        indexed = self._workers.get(worker_id)
+        if indexed is None:
             return
-        for task_id in tuple(held.tasks):
+        for task_id in tuple(indexed.tasks):
             self.free(worker_id, task_id)
-        self._held.pop(worker_id)
-        self._unfile(held)
-        self._sizes[held.whole] -= 1
-        if not self._sizes[held.whole]:
-            self._sizes.pop(held.whole)
+        self._workers.pop(worker_id)
+        self._remove_from_bucket(indexed)
+        self._capacity_counts[indexed.total] -= 1
+        if not self._capacity_counts[indexed.total]:
+            self._capacity_counts.pop(indexed.total)
 
     def cordon(self, worker_id: WorkerId, until_s: float) -> None:
-        """Place nothing on a worker until a time."""
-        held = self._held.get(worker_id)
-        if held is not None:
-            held.closed_until_s = until_s
+        """Exclude a worker from new placements until a time."""
+        indexed = self._workers.get(worker_id)
+        if indexed is not None:
+            indexed.cordoned_until_s = until_s
 
     def place(
         self,
         request: PlacementRequest,
         now_s: float,
     ) -> WorkerId | NoFit:
-        """Choose a worker and take the task's size from it."""
-        best: _Held | None = None
+        """Choose a worker and charge the task's size to its free capacity."""
+        best: _IndexedWorker | None = None
         best_score = float('inf')
-        for held in self._sample(request, now_s):
-            score = self._score(held, request, now_s)
+        for indexed in self._sample_eligible(request, now_s):
+            score = self._score(indexed, request, now_s)
             if score < best_score:
-                best = held
+                best = indexed
                 best_score = score
         if best is None:
-            return self._no_fit(request.demand)
+            return self._explain_no_fit(request.demand)
         self._charge(best, request.task_id, request.demand, request.job)
         return best.worker.worker_id
 
@@ -141,107 +146,109 @@
         demand: Demand,
         job: str,
     ) -> None:
-        """Count a task that a worker reports; free capacity may go below 0."""
-        held = self._held.get(worker_id)
-        if held is not None:
+        """Charge a running task to a worker; free capacity may go below 0."""
+        indexed = self._workers.get(worker_id)
+        if indexed is not None:
             self.free(worker_id, task_id)
-            self._charge(held, task_id, demand, job)
+            self._charge(indexed, task_id, demand, job)
 
     def free(self, worker_id: WorkerId, task_id: TaskId) -> None:
-        """Give the size of a task back; a repeat has no effect."""
-        held = self._held.get(worker_id)
-        found = None if held is None else held.tasks.pop(task_id, None)
-        if held is None or found is None:
+        """Free the capacity that a task holds; a repeat has no effect."""
+        indexed = self._workers.get(worker_id)
+        removed = None if indexed is None else indexed.tasks.pop(task_id, None)
+        if indexed is None or removed is None:
             return
-        demand, job = found
-        held.free = _plus(held.free, demand, 1)
-        racks = self._racks[job]
-        racks[held.worker.rack] -= 1
+        demand, job = removed
+        indexed.free = _add_scaled(indexed.free, demand, 1)
+        racks = self._job_racks[job]
+        racks[indexed.worker.rack] -= 1
         if not racks.total():
-            self._racks.pop(job)
-        self._refile(held)
+            self._job_racks.pop(job)
+        self._move_to_bucket(indexed)
 
     def free_capacity(self, worker_id: WorkerId) -> Demand | None:
-        """Return what is free on a worker, ``None`` if it is unknown."""
-        held = self._held.get(worker_id)
-        return None if held is None else held.free
+        """Return the free capacity of a worker, ``None`` if it is unknown."""
+        indexed = self._workers.get(worker_id)
+        return None if indexed is None else indexed.free
 
-    def _sample(
+    def _sample_eligible(
         self,
         request: PlacementRequest,
         now_s: float,
-    ) -> Iterator[_Held]:
-        found = 0
-        for held in self._probes(request.demand):
-            if _is_open(held, request, now_s):
-                found += 1
-                yield held
-            if found == _SAMPLE_COUNT:
+    ) -> Iterator[_IndexedWorker]:
+        yielded_count = 0
+        for indexed in self._probe_buckets(request.demand):
+            if _is_eligible(indexed, request, now_s):
+                yielded_count += 1
+                yield indexed
+            if yielded_count == _MAX_SCORED_COUNT:
                 return
 
-    def _probes(self, demand: Demand) -> Iterator[_Held]:
-        """Yield a bounded number of distinct workers, small gaps first."""
-        least = _bucket_of(demand)
+    def _probe_buckets(self, demand: Demand) -> Iterator[_IndexedWorker]:
+        """Yield workers from each bucket that may fit, small gaps first."""
+        smallest = _bucket_of(demand)
         for bucket in sorted(self._buckets):
-            if bucket[0] < least[0] or bucket[1] < least[1]:
+            if bucket[0] < smallest[0] or bucket[1] < smallest[1]:
                 continue
             members = self._buckets[bucket]
-            count = min(_PROBES_COUNT, len(members))
+            count = min(_MAX_PROBES_PER_BUCKET_COUNT, len(members))
             yield from self._random.sample(members, count)
 
     def _score(
         self,
-        held: _Held,
+        indexed: _IndexedWorker,
         request: PlacementRequest,
         now_s: float,
     ) -> float:
-        worker = held.worker
-        racks = self._racks.get(request.job)
-        crowded: float = 0
+        worker = indexed.worker
+        racks = self._job_racks.get(request.job)
+        rack_share: float = 0
         if racks is not None:
-            crowded = racks[worker.rack] / racks.total()
-        left = held.free.cpu_millicores - request.demand.cpu_millicores
-        gap = left / max(worker.capacity.cpu_millicores, 1)
-        harm = self._penalty(worker.worker_id, request.task_class, now_s)
-        return harm + _RACK_WEIGHT * crowded + _FIT_WEIGHT * gap
-
-    def _no_fit(self, demand: Demand) -> NoFit:
-        """Tell a full fleet from a task that no worker could ever hold."""
-        if not self._sizes or any(_holds(size, demand) for size in self._sizes):
+            rack_share = racks[worker.rack] / racks.total()
+        left = indexed.free.cpu_millicores - request.demand.cpu_millicores
+        gap_share = left / max(worker.capacity.cpu_millicores, 1)
+        penalty = self._penalty(worker.worker_id, request.task_class, now_s)
+        return penalty + _RACK_WEIGHT * rack_share + _FIT_WEIGHT * gap_share
+
+    def _explain_no_fit(self, demand: Demand) -> NoFit:
+        """Tell a full fleet from a task that fits no worker even when empty."""
+        if not self._capacity_counts or any(
+            _fits(size, demand) for size in self._capacity_counts
+        ):
             return NoFit.FULL
         return NoFit.TOO_LARGE
 
     def _charge(
         self,
-        held: _Held,
+        indexed: _IndexedWorker,
         task_id: TaskId,
         demand: Demand,
         job: str,
     ) -> None:
-        held.tasks[task_id] = (demand, job)
-        held.free = _plus(held.free, demand, -1)
-        self._racks.setdefault(job, Counter())[held.worker.rack] += 1
-        self._refile(held)
-
-    def _refile(self, held: _Held) -> None:
-        if _bucket_of(held.free) != held.bucket:
-            self._unfile(held)
-            self._file(held)
-
-    def _file(self, held: _Held) -> None:
-        held.bucket = _bucket_of(held.free)
-        members = self._buckets.setdefault(held.bucket, [])
-        held.position = len(members)
-        members.append(held)
-
-    def _unfile(self, held: _Held) -> None:
-        members = self._buckets[held.bucket]
+        indexed.tasks[task_id] = (demand, job)
+        indexed.free = _add_scaled(indexed.free, demand, -1)
+        self._job_racks.setdefault(job, Counter())[indexed.worker.rack] += 1
+        self._move_to_bucket(indexed)
+
+    def _move_to_bucket(self, indexed: _IndexedWorker) -> None:
+        if _bucket_of(indexed.free) != indexed.bucket:
+            self._remove_from_bucket(indexed)
+            self._add_to_bucket(indexed)
+
+    def _add_to_bucket(self, indexed: _IndexedWorker) -> None:
+        indexed.bucket = _bucket_of(indexed.free)
+        members = self._buckets.setdefault(indexed.bucket, [])
+        indexed.position = len(members)
+        members.append(indexed)
+
+    def _remove_from_bucket(self, indexed: _IndexedWorker) -> None:
+        members = self._buckets[indexed.bucket]
         last = members.pop()
-        if last is not held:
-            members[held.position] = last
-            last.position = held.position
+        if last is not indexed:
+            members[indexed.position] = last
+            last.position = indexed.position
         if not members:
-            self._buckets.pop(held.bucket)
+            self._buckets.pop(indexed.bucket)
 
 
 def _bucket_of(free: Demand) -> tuple[int, int]:
@@ -251,7 +258,7 @@
     )
 
 
-def _holds(free: Demand, demand: Demand) -> bool:
+def _fits(free: Demand, demand: Demand) -> bool:
     return (
         demand.cpu_millicores <= free.cpu_millicores
         and demand.memory_mb <= free.memory_mb
@@ -259,16 +266,20 @@
     )
 
 
-def _is_open(held: _Held, request: PlacementRequest, now_s: float) -> bool:
+def _is_eligible(
+    indexed: _IndexedWorker,
+    request: PlacementRequest,
+    now_s: float,
+) -> bool:
     return (
-        _holds(held.free, request.demand)
-        and held.closed_until_s <= now_s
-        and held.worker.rack not in request.avoid_racks
-        and held.worker.worker_id not in request.avoid_workers
+        _fits(indexed.free, request.demand)
+        and indexed.cordoned_until_s <= now_s
+        and indexed.worker.rack not in request.avoid_racks
+        and indexed.worker.worker_id not in request.avoid_workers
     )
 
 
-def _plus(free: Demand, demand: Demand, sign: int) -> Demand:
+def _add_scaled(free: Demand, demand: Demand, sign: int) -> Demand:
     return Demand(
         free.cpu_millicores + sign * demand.cpu_millicores,
         free.memory_mb + sign * demand.memory_mb,
--- a/src/marjoramwharf/batch/retry_pauses.py
+++ b/src/marjoramwharf/batch/retry_pauses.py
@@ -1,4 +1,4 @@
-"""Things that are not tried again before a time."""
+"""Fixed delays before failed operations are tried again."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 @dataclass(slots=True)
 class RetryPauses:
-    """Times before which a key is left alone."""
+    """Pauses retries by key, such as a task id or a task size."""
 
     pause_s: float
     _until_s: dict[Hashable, float] = field(default_factory=dict)
 
     def pause(self, key: Hashable, now_s: float) -> None:
-        """Leave a key alone for the length of a pause."""
+        """Pause a key for ``pause_s`` from now on."""
         self._until_s[key] = now_s + self.pause_s
 
     def is_paused(self, key: Hashable, now_s: float) -> bool:
-        """Tell whether a key is to be left alone; forget a past pause."""
+        """Tell whether a key is paused; remove a pause that has ended."""
         until_s = self._until_s.get(key)
         if until_s is None:
             return False
--- a/src/marjoramwharf/batch/runner.py
+++ b/src/marjoramwharf/batch/runner.py
@@ -1,9 +1,9 @@
-"""Starts the ready tasks of the owned job shards and takes in their ends.
+"""Starts the ready tasks of the owned job shards and handles their ends.
 
-The order of the steps carries the guarantees: reserve, commit the start, call
-the worker, commit the outcome, release the reservation. A task whose start is
-committed is never started again before its worker says that the attempt ended
-or never ran, or the platform's list says that the instance is gone.
+The guarantees follow from the order of the steps: reserve, commit the start,
+call the worker, commit the outcome, release the reservation. A task whose
+start is committed is never started again until its worker reports that the
+attempt ended or never ran, or its instance has left the platform's list.
 """
 
 from __future__ import annotations
@@ -16,26 +16,34 @@
 import trio
 
 from marjoramwharf.batch.capacity import CapacityClient
-from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.batch.job import HELD_STATES, Task, TaskSpec, parse_shard_id
 from marjoramwharf.batch.ordering import ready_tasks
 from marjoramwharf.batch.outcomes import OutcomeCommitter
 from marjoramwharf.batch.retry_pauses import RetryPauses
-from marjoramwharf.batch.settling import RUNNING_PHASES, AgentLookup, AttemptSettler
+from marjoramwharf.batch.settling import (
+    RUNNING_PHASES,
+    AgentLookup,
+    AttemptSettler,
+)
 from marjoramwharf.batch.shard import JobShard
 from marjoramwharf.batch.task_starter import TaskStarter
+from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.ids import ShardId, TaskId, WorkerId
 from marjoramwharf.machines.calls import Demand, LeaseReply, TaskReport
 
 
 @dataclass(frozen=True, slots=True)
 class RunnerLimits:
-    """Bounds of the starts of one entry."""
+    """Intervals and limits for the starts of one entry.
+
+    ``max_active_calls_count`` limits the calls for tasks that are in flight,
+    ``max_scanned_tasks_count`` the ready tasks that one poll examines.
+    """
 
     poll_s: float = 0.1
     retry_s: float = 0.5
-    starts_count: int = 64
-    scan_count: int = 2_000
+    max_active_calls_count: int = 64
+    max_scanned_tasks_count: int = 2_000
 
 
 class JobRunner:
@@ -49,29 +57,33 @@
         size_of: Callable[[TaskSpec], Demand] | None = None,
         limits: RunnerLimits | None = None,
     ) -> None:
-        """Prepare a runner; ``size_of`` corrects the declared sizes."""
-        self.failing = WorkerFailureTracker()
+        """Create a runner; ``size_of`` corrects the declared task sizes."""
+        self.worker_failures = WorkerFailureTracker()
         self._limits = limits or RunnerLimits()
         self._shards: dict[ShardId, JobShard] = {}
-        self._outcomes = OutcomeCommitter(self._shards, capacity, self.failing)
+        self._outcomes = OutcomeCommitter(
+            self._shards,
+            capacity,
+            self.worker_failures,
+        )
         self._pauses = RetryPauses(self._limits.retry_s)
-        # Tasks with a call under way; one call per task at a time.
+        # Tasks with a call in flight; there is at most one call per task.
         self._active: set[TaskId] = set()
-        self._settling = AttemptSettler(agent_of, self._outcomes, self._pauses)
-        self._starts = TaskStarter(
+        self._settler = AttemptSettler(agent_of, self._outcomes, self._pauses)
+        self._starter = TaskStarter(
             capacity,
             agent_of,
             self._outcomes,
             self._pauses,
-            self.failing,
-            size_of or _declared,
+            self.worker_failures,
+            size_of or _declared_demand,
         )
 
     async def serve_shard(self, shard: JobShard) -> None:
         """Serve a recovered shard until it has another owner.
 
-        Tasks that the former owner started count as held. Their workers'
-        reports say what became of them.
+        Tasks that the former owner started count as held until their workers'
+        reports tell how they ended.
         """
         self._shards[shard.shard] = shard
         with ExitStack() as stack:
@@ -79,10 +91,10 @@
             await shard.journal.run()
 
     def held_workers(self) -> frozenset[WorkerId]:
-        """Return the workers that may run tasks of the owned shards.
+        """Return the workers that may be running tasks of the owned shards.
 
         After a takeover, the caller compares them with the platform's list
-        and calls ``on_instance_gone`` for those that are not on it.
+        and calls ``on_instance_gone`` for those that are missing there.
         """
         return frozenset(
             worker_id
@@ -95,7 +107,7 @@
         return tuple(self._shards.values())
 
     def shard(self, shard_id: ShardId) -> JobShard | None:
-        """Return an owned shard."""
+        """Return an owned shard, ``None`` for a shard of another owner."""
         return self._shards.get(shard_id)
 
     async def run(self) -> None:
@@ -104,7 +116,7 @@
             nursery.start_soon(self._outcomes.run, self._limits.retry_s)
             while True:
                 for shard in tuple(self._shards.values()):
-                    self._spawn(nursery, shard)
+                    self._spawn_calls(nursery, shard)
                 await trio.sleep(self._limits.poll_s)
 
     async def on_lease_reply(
@@ -114,39 +126,50 @@
         *,
         shards: Collection[ShardId] | None = None,
     ) -> tuple[TaskReport, ...]:
-        """Take in a worker's reports; return those of other shards.
+        """Handle a worker's task reports; return those of other shards.
 
-        The caller passes the returned reports on to the owners. ``shards``
-        names those for which the reply is complete, ``None`` means all.
+        The caller forwards the returned reports to the shards' owners.
+        ``shards`` are those for which the reply is complete; ``None`` means
+        all.
         """
-        self._outcomes.instance_seen(worker_id)
+        self._outcomes.mark_instance_seen(worker_id)
         foreign: list[TaskReport] = []
-        settling = self._settling
-        busy = self._busy_or_reported(reply)
+        settler = self._settler
+        reported = self._reported_or_active(reply)
         async with trio.open_nursery() as nursery:
             for report in reply.tasks:
                 shard = self._shard_of(report.task_id)
                 if shard is None:
                     foreign.append(report)
-                elif _is_news(shard, report):
-                    nursery.start_soon(settling.take, shard, worker_id, report)
-            for owned in self._named(shards):
-                for task in settling.lost(owned, worker_id, busy):
+                elif _needs_handling(shard, report):
+                    nursery.start_soon(
+                        settler.handle_report,
+                        shard,
+                        worker_id,
+                        report,
+                    )
+            for owned in self._select_shards(shards):
+                for task in settler.find_missing_tasks(
+                    owned,
+                    worker_id,
+                    reported,
+                ):
                     self._active.add(task.task_id)
                     nursery.start_soon(self._stop, task)
         return tuple(foreign)
 
     def on_instance_gone(self, worker_id: WorkerId) -> None:
-        """Return the tasks of an instance that the platform's list lost.
+        """Let the tasks of an instance wait again after it left the list.
 
-        The commit is repeated until the store takes it.
+        The commit is retried until the store accepts it.
         """
-        self._outcomes.instance_gone(worker_id)
+        self._outcomes.mark_instance_gone(worker_id)
 
     async def evict(self, task_id: TaskId) -> bool:
-        """Checkpoint and stop a task; it resumes from there later.
+        """Checkpoint and stop a task, which resumes from there later.
 
-        Returns false if the task does not run or its worker did not answer.
+        Returns false if the task is not running, has another call in flight,
+        or its worker did not answer.
         """
         shard = self._shard_of(task_id)
         task = None if shard is None else shard.state.tasks.get(task_id)
@@ -157,7 +180,7 @@
         self._active.add(task_id)
         return await self._stop(task)
 
-    def _named(
+    def _select_shards(
         self,
         shards: Collection[ShardId] | None,
     ) -> list[JobShard]:
@@ -176,7 +199,7 @@
         shard_id = parse_shard_id(task_id)
         return None if shard_id is None else self._shards.get(shard_id)
 
-    def _busy_or_reported(
+    def _reported_or_active(
         self,
         reply: LeaseReply,
     ) -> frozenset[tuple[TaskId, tuple[int, int]]]:
@@ -188,50 +211,50 @@
                 reported.add((task_id, task.fence))
         return frozenset(reported)
 
-    def _spawn(self, nursery: trio.Nursery, shard: JobShard) -> None:
+    def _spawn_calls(self, nursery: trio.Nursery, shard: JobShard) -> None:
         now_s = trio.current_time()
-        for stopping_id in tuple(shard.state.stopping):
-            if self._may_try(stopping_id, now_s):
+        for stopping_id in tuple(shard.state.stopping_tasks):
+            if self._can_call(stopping_id, now_s):
                 self._active.add(stopping_id)
                 nursery.start_soon(self._stop, shard.state.tasks[stopping_id])
-        for ready in self._to_start(shard, now_s):
+        for ready in self._startable_tasks(shard, now_s):
             self._active.add(ready.task_id)
             nursery.start_soon(self._start, shard, ready)
 
-    def _to_start(self, shard: JobShard, now_s: float) -> Iterator[Task]:
+    def _startable_tasks(self, shard: JobShard, now_s: float) -> Iterator[Task]:
         scanned = islice(
             ready_tasks(shard.state, shard.policy),
-            self._limits.scan_count,
+            self._limits.max_scanned_tasks_count,
         )
         for task in scanned:
-            if len(self._active) >= self._limits.starts_count:
+            if len(self._active) >= self._limits.max_active_calls_count:
                 return
             spec = shard.state.jobs[task.job_id].spec
             demand = spec.tasks[task.index].demand
             if self._pauses.is_paused(demand, now_s):
                 continue
-            if self._may_try(task.task_id, now_s):
+            if self._can_call(task.task_id, now_s):
                 yield task
 
-    def _may_try(self, task_id: TaskId, now_s: float) -> bool:
+    def _can_call(self, task_id: TaskId, now_s: float) -> bool:
         if task_id in self._active:
             return False
         return not self._pauses.is_paused(task_id, now_s)
 
     async def _start(self, shard: JobShard, task: Task) -> None:
-        await self._starts.start(shard, task)
+        await self._starter.start(shard, task)
         self._active.discard(task.task_id)
 
     async def _stop(self, task: Task) -> bool:
-        has_answered = await self._settling.stop(task)
+        has_answered = await self._settler.stop(task)
         self._active.discard(task.task_id)
         return has_answered
 
 
-def _is_news(shard: JobShard, report: TaskReport) -> bool:
-    """Tell whether a report may change the shard or needs a stop.
+def _needs_handling(shard: JobShard, report: TaskReport) -> bool:
+    """Tell whether a report may change the shard or require a stop.
 
-    Workers repeat the ends of attempts in each reply.
+    Workers repeat the ends of attempts in every reply, so most have no effect.
     """
     task = shard.state.tasks.get(report.task_id)
     is_held = task is not None and task.state in HELD_STATES
@@ -240,5 +263,5 @@
     return report.phase in RUNNING_PHASES
 
 
-def _declared(size: TaskSpec) -> Demand:
+def _declared_demand(size: TaskSpec) -> Demand:
     return size.demand
--- a/src/marjoramwharf/batch/settling.py
+++ b/src/marjoramwharf/batch/settling.py
@@ -1,4 +1,4 @@
-"""Learns from workers what became of attempts, and stops attempts."""
+"""Determines the outcomes of attempts from their workers, and stops them."""
 
 from __future__ import annotations
 
@@ -21,23 +21,26 @@
 
 RUNNING_PHASES = frozenset((TaskPhase.RUNNING, TaskPhase.THROTTLED))
 
-# A reply can be older than a start that was acknowledged meanwhile, so one
-# reply without a task proves nothing. The second one causes a question to the
-# worker, which stops the attempt if it does run.
-_MISSED_REPLIES_COUNT = 2
+# A reply can be older than a start that was acknowledged meanwhile, so a single
+# reply without a task proves nothing. After the second one, the worker is asked
+# to stop the attempt, which also tells whether it ran.
+_MAX_MISSED_REPLIES_COUNT = 2
 
 
 @dataclass(slots=True)
 class AttemptSettler:
-    """Settles the attempts of the owned shards."""
+    """Determines the outcomes of the attempts of the owned shards."""
 
     agent_of: AgentLookup
     outcomes: OutcomeCommitter
     pauses: RetryPauses
-    _missed: dict[TaskId, int] = field(default_factory=dict)
+    _misses: dict[TaskId, int] = field(default_factory=dict)
 
     async def stop(self, task: Task) -> bool:
-        """Stop an attempt, or learn how it ended; false if unreachable."""
+        """Stop an attempt or find out how it ended.
+
+        Returns false if the worker can't be reached.
+        """
         placement = task.placement
         agent = None
         if placement is not None:
@@ -46,36 +49,36 @@
         if agent is None:
             return False
         try:
-            await self._stop_at(agent, task)
+            await self._stop_on_worker(agent, task)
         except WorkerUnreachable:
             return False
         return True
 
-    async def _stop_at(self, agent: WorkerAgent, task: Task) -> None:
+    async def _stop_on_worker(self, agent: WorkerAgent, task: Task) -> None:
         report = await agent.stop_task(
             task.task_id,
             task.fence,
             with_checkpoint=task.state is TaskState.PLACED,
         )
         if report.phase not in RUNNING_PHASES:
-            await self.outcomes.finish(report)
+            await self.outcomes.commit_end(report)
 
-    async def take(
+    async def handle_report(
         self,
         shard: JobShard,
         worker_id: WorkerId,
         report: TaskReport,
     ) -> None:
-        """Take in a report; an attempt that was given up is stopped."""
+        """Commit a reported end; stop an attempt that is not current."""
         if report.phase not in RUNNING_PHASES:
-            await self.outcomes.finish(report)
+            await self.outcomes.commit_end(report)
             return
-        self._missed.pop(report.task_id, None)
+        self._misses.pop(report.task_id, None)
         task = shard.state.tasks.get(report.task_id)
         if task is not None and task.fence == report.fence:
             return
-        # For example, the instance was gone from the list and came back. A
-        # higher epoch belongs to a later owner.
+        # The attempt was given up, for example because its instance left the
+        # list and came back. A higher epoch belongs to a later owner.
         agent = self.agent_of(worker_id)
         if agent is not None and report.fence[0] <= shard.epoch:
             with suppress(WorkerUnreachable):
@@ -85,23 +88,23 @@
                     with_checkpoint=False,
                 )
 
-    def lost(
+    def find_missing_tasks(
         self,
         shard: JobShard,
         worker_id: WorkerId,
         reported: frozenset[tuple[TaskId, tuple[int, int]]],
     ) -> Iterator[Task]:
-        """Return held tasks that the worker has left out repeatedly.
+        """Yield held tasks that are missing from repeated worker replies.
 
         ``reported`` has the tasks and fences that the worker did report or
-        that have a call under way.
+        that have a call in flight.
         """
         for task_id in tuple(shard.state.held_by_worker.get(worker_id, ())):
             task = shard.state.tasks[task_id]
             if (task_id, task.fence) in reported:
-                self._missed.pop(task_id, None)
+                self._misses.pop(task_id, None)
                 continue
-            self._missed[task_id] = self._missed.get(task_id, 0) + 1
-            if self._missed[task_id] >= _MISSED_REPLIES_COUNT:
-                self._missed.pop(task_id)
+            self._misses[task_id] = self._misses.get(task_id, 0) + 1
+            if self._misses[task_id] >= _MAX_MISSED_REPLIES_COUNT:
+                self._misses.pop(task_id)
                 yield task
--- a/src/marjoramwharf/batch/shard.py
+++ b/src/marjoramwharf/batch/shard.py
@@ -1,8 +1,8 @@
-"""The owner's state machine for one job shard.
+"""Operations on one job shard, for the entry that owns it.
 
 Every change goes through the journal: it is decided on the latest state and
-reported when it is durable. Times are wall-clock milliseconds, because they
-outlive the process that took them.
+reported once it is durable. Times are wall-clock milliseconds, because they
+outlive the process that recorded them.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 from marjoramwharf.ids import Epoch, JobId, ShardId, TaskId, TeamId, WorkerId
 from marjoramwharf.machines.calls import TaskReport, TaskStart
 
-# A cancel event takes about 30 bytes; this keeps a wave in few log entries
-# and each entry below the store's limit for a value.
+# A cancel event takes about 30 bytes. This number keeps a mass cancellation in
+# few log entries, and each entry below the store's limit for a value.
 _CANCEL_CHUNK_COUNT = 5_000
 
 
 @dataclass(frozen=True, slots=True)
 class JobStatus:
-    """What a caller is told about a job."""
+    """Status of a job as reported to callers."""
 
     job_id: JobId
     state: JobState
@@ -52,27 +52,28 @@
 
 @dataclass(slots=True)
 class JobShard:
-    """Jobs of one shard, while this entry owns it."""
+    """The jobs of one shard while this entry owns it."""
 
     shard: ShardId
     epoch: Epoch
     journal: Journal
     policy: ShardPolicy
     _changed: trio.Event = field(default_factory=trio.Event)
-    _asked_attempt: int = 0
+    _last_allocated_attempt: int = 0
     _final_since_ms: dict[JobId, int] = field(default_factory=dict)
 
     async def submit(self, spec: JobSpec, now_ms: int) -> JobId:
-        """Accept a job once it is durable.
+        """Accept a job and return its id once it is durable.
 
-        A repeat returns the id of the job. Raises ``KeyReused`` for another
-        job with the same key, and the failures of ``Journal.commit``.
+        A repeated submission returns the same id. Raises ``KeyReused`` if the
+        key belongs to a job with another spec, and the failures of
+        ``Journal.commit``.
         """
         job_id = job_id_of(spec, self.shard)
 
         await self._commit(
             partial(
-                decisions.submission,
+                decisions.submit_job,
                 job_id=job_id,
                 spec=spec,
                 now_ms=now_ms,
@@ -81,34 +82,35 @@
         return job_id
 
     async def status(self, job_id: JobId) -> JobStatus:
-        """Return the durable status.
+        """Return the status of a job after all its changes are durable.
 
-        Raises ``UnknownJob``, or ``NotOwner`` after a change of owner.
+        Raises ``UnknownJob``, ``NotOwner`` after a change of owner, or
+        ``StoreUnavailable``.
         """
-        await self._durable()
+        await self._wait_until_durable()
         return self._status(job_id)
 
     async def wait(self, job_id: JobId, timeout_s: float) -> JobStatus:
-        """Return the status when the job is final or the time is over."""
+        """Return the status once the job is final or the timeout has passed."""
         with trio.move_on_after(timeout_s):
             while (await self.status(job_id)).state not in FINAL_STATES:
                 await self._changed.wait()
         return await self.status(job_id)
 
     async def cancel(self, job_ids: Sequence[JobId]) -> list[JobId]:
-        """Cancel jobs and return those that are known.
+        """Cancel jobs and return the ids of those that exist.
 
-        Tasks that may run are stopped at their workers afterwards; a task
-        that ends before the stop counts as done.
+        Tasks that may be running are stopped on their workers afterwards. A
+        task that finishes before it is stopped counts as done.
         """
-        known: list[JobId] = []
+        existing: list[JobId] = []
         for start in range(0, len(job_ids), _CANCEL_CHUNK_COUNT):
             chunk = job_ids[start : start + _CANCEL_CHUNK_COUNT]
             await self._commit(
-                partial(decisions.cancellation, job_ids=chunk),
+                partial(decisions.cancel_jobs, job_ids=chunk),
             )
-            known.extend(job for job in chunk if job in self.state.jobs)
-        return known
+            existing.extend(job for job in chunk if job in self.state.jobs)
+        return existing
 
     async def list_jobs(
         self,
@@ -117,8 +119,8 @@
         state: JobState | None = None,
         limit: int = 100,
     ) -> list[JobStatus]:
-        """Return the latest jobs, newest first."""
-        await self._durable()
+        """Return the latest jobs that match the filters, newest first."""
+        await self._wait_until_durable()
         found: list[JobStatus] = []
         for job in reversed(tuple(self.state.jobs.values())):
             if len(found) >= limit:
@@ -130,24 +132,24 @@
 
     @property
     def state(self) -> ShardState:
-        """The jobs and tasks, with the events of the write under way."""
+        """The jobs and tasks, including the events of the write in flight."""
         return self.journal.state
 
     def ready(self, limit: int) -> list[Task]:
-        """Return tasks that may start now, the most important first."""
+        """Return up to ``limit`` tasks that may start, most important first."""
         return list(islice(ready_tasks(self.state, self.policy), limit))
 
     def next_attempt(self) -> int:
-        """Return a number for an attempt that no other attempt gets.
+        """Return a new attempt number, unique within the shard.
 
-        Numbers are given out before the commit, so that the reservation of
-        an attempt has its fence.
+        Numbers are allocated before the start is committed, so that the
+        reservation carries the fencing token of its attempt.
         """
-        self._asked_attempt = 1 + max(
-            self._asked_attempt,
+        self._last_allocated_attempt = 1 + max(
+            self._last_allocated_attempt,
             self.state.last_attempt,
         )
-        return self._asked_attempt
+        return self._last_allocated_attempt
 
     async def start(
         self,
@@ -158,9 +160,9 @@
         worker_epoch: Epoch,
         reservation_id: str,
     ) -> TaskStart | None:
-        """Commit a start and return the call for the worker.
+        """Commit a start and return the message for the worker.
 
-        Without ``attempt``, the next number is taken. Returns ``None`` if the
+        Without ``attempt``, a new number is allocated. Returns ``None`` if the
         task may no longer start.
         """
         number = self.next_attempt() if attempt is None else attempt
@@ -172,7 +174,7 @@
         )
         await self._commit(
             partial(
-                decisions.start,
+                decisions.start_task,
                 policy=self.policy,
                 task_id=task_id,
                 placement=placement,
@@ -184,72 +186,77 @@
             return None
         return build_task_start(self.state, task)
 
-    async def record(self, report: TaskReport) -> Placement | None:
+    async def record_end(self, report: TaskReport) -> Placement | None:
         """Commit the end of an attempt that a worker reports.
 
-        Returns the placement whose reservation is now free, ``None`` if the
-        report ends nothing: a running phase, or an attempt that is counted
-        already. ``UNKNOWN`` proves that the attempt never runs.
+        Returns the placement whose reservation can now be released. Returns
+        ``None`` if the report ends nothing, because the attempt still runs or
+        its end is already recorded. The phase ``UNKNOWN`` proves that the
+        attempt will never run.
         """
         freed: list[Placement] = []
 
         await self._commit(
-            partial(decisions.end, report=report, freed=freed),
+            partial(decisions.end_attempt, report=report, freed=freed),
         )
         return freed[0] if freed else None
 
-    async def instance_gone(self, worker_id: WorkerId) -> list[Placement]:
-        """End the attempts of a worker that the platform's list lost.
+    async def end_attempts_on(self, worker_id: WorkerId) -> list[Placement]:
+        """End all attempts on a worker that left the platform's list.
 
-        Returns the placements whose reservations are now free.
+        Returns the placements whose reservations can now be released.
         """
         freed: list[Placement] = []
         await self._commit(
-            partial(decisions.loss, worker_id=worker_id, freed=freed),
+            partial(
+                decisions.end_attempts_on_worker,
+                worker_id=worker_id,
+                freed=freed,
+            ),
         )
         return freed
 
     async def mark_impossible(self, task_id: TaskId) -> None:
-        """Mark a job as impossible because no worker is large enough."""
+        """Mark a task's job as impossible because no worker is large enough."""
         await self._commit(
-            partial(decisions.setting_aside, task_id=task_id),
+            partial(decisions.mark_impossible, task_id=task_id),
         )
 
     async def reconsider(self) -> None:
         """Let impossible jobs wait again, after larger workers joined."""
-        await self._commit(decisions.reconsideration)
+        await self._commit(decisions.reconsider_impossible_jobs)
 
     async def forget_expired_jobs(self, now_ms: int) -> None:
-        """Drop jobs that have been final for the retention time.
+        """Remove jobs that have been final for the retention time.
 
-        The time is counted from the first call that finds the job final; a
-        new owner counts from its own first call.
+        The time starts with the first call that finds the job final; a new
+        owner starts over with its own first call.
         """
-        for known in self.state.jobs:
-            if self.state.state_of(known) in FINAL_STATES:
-                self._final_since_ms.setdefault(known, now_ms)
+        for job_id in self.state.jobs:
+            if self.state.state_of(job_id) in FINAL_STATES:
+                self._final_since_ms.setdefault(job_id, now_ms)
         old = [
             final
             for final, since_ms in self._final_since_ms.items()
             if now_ms - since_ms >= self.policy.retention_ms
         ]
         if old:
-            await self._commit(partial(decisions.forgetting, job_ids=old))
+            await self._commit(partial(decisions.forget_jobs, job_ids=old))
         for forgotten in old:
             self._final_since_ms.pop(forgotten)
 
     async def flush(self) -> None:
-        """Return when all changes so far are durable."""
+        """Wait until all changes made so far are durable."""
         await self.journal.commit(lambda _state: ())
-        await self.journal.durable()
+        await self.journal.wait_until_durable()
 
     def wake_waiters(self) -> None:
-        """Let ``wait`` look at the state again."""
+        """Wake up all calls of ``wait`` so that they check the state again."""
         self._changed.set()
         self._changed = trio.Event()
 
-    async def _durable(self) -> None:
-        await self.journal.durable()
+    async def _wait_until_durable(self) -> None:
+        await self.journal.wait_until_durable()
         if self.journal.is_ownership_lost:
             raise NotOwner(message='the shard has another owner')
 
@@ -275,7 +282,7 @@
 
 
 def build_task_start(state: ShardState, task: Task) -> TaskStart:
-    """Return the call that starts or settles a placed attempt."""
+    """Build the start message for the attempt of a placed task."""
     spec = state.jobs[task.job_id].spec
     size = spec.tasks[task.index]
     placement = task.placement
--- a/src/marjoramwharf/batch/task_starter.py
+++ b/src/marjoramwharf/batch/task_starter.py
@@ -1,4 +1,4 @@
-"""Starts of single tasks: reserve, commit, call the worker."""
+"""Starts single tasks: reserves, commits the start, calls the worker."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     Reservation,
     ReservationRequest,
 )
-from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.batch.job import Task, TaskSpec
 from marjoramwharf.batch.outcomes import OutcomeCommitter
 from marjoramwharf.batch.retry_pauses import RetryPauses
 from marjoramwharf.batch.settling import RUNNING_PHASES, AgentLookup
 from marjoramwharf.batch.shard import JobShard
+from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.errors import (
     Failure,
     Reason,
@@ -40,17 +40,17 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskStarter:
-    """Starts tasks; ``size_of`` corrects their declared sizes."""
+    """Starts tasks; ``size_of`` returns the size to reserve for one."""
 
     capacity: CapacityClient
     agent_of: AgentLookup
     outcomes: OutcomeCommitter
     pauses: RetryPauses
-    failing: WorkerFailureTracker
+    worker_failures: WorkerFailureTracker
     size_of: Callable[[TaskSpec], Demand]
 
     async def start(self, shard: JobShard, task: Task) -> None:
-        """Start a task, or pause it after a failure."""
+        """Start a task; after a failure, pause it before the next try."""
         try:
             await self._reserve_and_start(shard, task)
         except Failure as failure:
@@ -64,50 +64,50 @@
     async def _reserve_and_start(self, shard: JobShard, task: Task) -> None:
         job = shard.state.jobs.get(task.job_id)
         if job is None:
-            # The write of its submission failed and was reverted.
+            # The commit of the job's submission failed and was reverted.
             return
         spec = job.spec
         size = spec.tasks[task.index]
-        aside = self.failing.aside(trio.current_time())
-        ask = ReservationRequest(
+        excluded = self.worker_failures.excluded_workers(trio.current_time())
+        request = ReservationRequest(
             task_id=task.task_id,
             fence=(shard.epoch, shard.next_attempt()),
             demand=self.size_of(size),
             task_class=size.task_class,
             priority=spec.priority,
-            avoid_workers=aside,
+            avoid_workers=excluded,
             declared=size.demand,
         )
-        found = await self.capacity.reserve(ask)
+        found = await self.capacity.reserve(request)
         if isinstance(found, NoWorkerFound):
             if found.reason is Reason.NEVER_FITS:
                 await shard.mark_impossible(task.task_id)
             self.pauses.pause(size.demand, trio.current_time())
-        elif found.worker_id in aside:
+        elif found.worker_id in excluded:
             self.pauses.pause(size.demand, trio.current_time())
             await self.outcomes.release(found.reservation_id)
         else:
-            start = await self._commit_start(shard, ask, found)
+            start = await self._commit_start(shard, request, found)
             if start is not None:
-                start = replace(start, demand=ask.demand)
-                await self._call(found.worker_id, start)
+                start = replace(start, demand=request.demand)
+                await self._call_worker(found.worker_id, start)
 
     async def _commit_start(
         self,
         shard: JobShard,
-        ask: ReservationRequest,
+        request: ReservationRequest,
         found: Reservation,
     ) -> TaskStart | None:
         try:
             start = await shard.start(
-                ask.task_id,
-                attempt=ask.fence[1],
+                request.task_id,
+                attempt=request.fence[1],
                 worker_id=found.worker_id,
                 worker_epoch=found.epoch,
                 reservation_id=found.reservation_id,
             )
         except StoreAnswerLost:
-            # The start may be durable; the shard's next owner settles it.
+            # The start may be durable; the shard's next owner finds out.
             raise
         except Failure:
             await self.outcomes.release(found.reservation_id)
@@ -116,8 +116,11 @@
             await self.outcomes.release(found.reservation_id)
         return start
 
-    async def _call(self, worker_id: WorkerId, start: TaskStart) -> None:
-        """Call the worker; the lease replies settle a lost answer."""
+    async def _call_worker(self, worker_id: WorkerId, start: TaskStart) -> None:
+        """Send a start to its worker.
+
+        If the answer is lost, later lease replies tell whether it arrived.
+        """
         agent = self.agent_of(worker_id)
         if agent is None:
             return
@@ -127,12 +130,12 @@
             return
         if isinstance(outcome, WorkerRefusal):
             self.pauses.pause(start.task_id, trio.current_time())
-            await self.outcomes.finish(_never_ran(start))
+            await self.outcomes.commit_end(_never_ran_report(start))
         elif outcome.phase not in RUNNING_PHASES:
-            await self.outcomes.finish(outcome)
+            await self.outcomes.commit_end(outcome)
 
 
-def _never_ran(start: TaskStart) -> TaskReport:
+def _never_ran_report(start: TaskStart) -> TaskReport:
     return TaskReport(
         task_id=start.task_id,
         fence=start.fence,
--- a/src/marjoramwharf/batch/worker_failures.py
+++ b/src/marjoramwharf/batch/worker_failures.py
@@ -1,4 +1,4 @@
-"""Workers that fail every task they start are set aside for a while."""
+"""Temporarily excludes workers on which the tasks of several jobs fail."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from marjoramwharf.errors import Reason
 from marjoramwharf.ids import JobId, WorkerId
 
-# Failures are counted per job, so that one broken job does not set aside the
-# workers that it visits.
-_FAILED_JOBS_COUNT = 3
+# Failed jobs are counted instead of failed attempts, so that one broken job
+# does not exclude every worker it runs on.
+_MIN_FAILED_JOBS_COUNT = 3
 
-_FIRST_PAUSE_S = 30.0
-_LONGEST_PAUSE_S = 600.0
+_INITIAL_EXCLUSION_S = 30.0
+_MAX_EXCLUSION_S = 600.0
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerExclusion:
-    """A worker that gets no batch tasks until a time."""
+    """A worker that gets no batch tasks before ``until_s``."""
 
     worker_id: WorkerId
     until_s: float
@@ -25,50 +25,56 @@
 
 
 @dataclass(slots=True)
-class _Record:
+class _FailureRecord:
     failed_jobs: set[JobId] = field(default_factory=set)
-    pause_s: float = _FIRST_PAUSE_S
+    next_exclusion_s: float = _INITIAL_EXCLUSION_S
 
 
 class WorkerFailureTracker:
-    """Failures per worker since its last success."""
+    """Counts failures per worker since its last success."""
 
     def __init__(self) -> None:
-        """Start without failures."""
-        self._records: dict[WorkerId, _Record] = {}
-        self._aside: dict[WorkerId, WorkerExclusion] = {}
+        """Create a tracker without failures."""
+        self._records: dict[WorkerId, _FailureRecord] = {}
+        self._exclusions: dict[WorkerId, WorkerExclusion] = {}
 
-    def succeeded(self, worker_id: WorkerId) -> None:
-        """Forget a worker's failures."""
+    def record_success(self, worker_id: WorkerId) -> None:
+        """Reset a worker's failures and end its exclusion."""
         self._records.pop(worker_id, None)
-        self._aside.pop(worker_id, None)
+        self._exclusions.pop(worker_id, None)
 
-    def failed(
+    def record_failure(
         self,
         worker_id: WorkerId,
         job_id: JobId,
         now_s: float,
     ) -> WorkerExclusion | None:
-        """Count a failure and return the pause that it starts, if any.
+        """Count a failure and return the exclusion that it starts, if any.
 
-        After a pause, a failure of one more job starts a pause of twice the
+        After an exclusion, the next failure starts another one of twice the
         length.
         """
-        record = self._records.setdefault(worker_id, _Record())
+        record = self._records.setdefault(worker_id, _FailureRecord())
         record.failed_jobs.add(job_id)
-        if len(record.failed_jobs) < _FAILED_JOBS_COUNT:
+        if len(record.failed_jobs) < _MIN_FAILED_JOBS_COUNT:
             return None
-        if worker_id in self.aside(now_s):
+        if worker_id in self.excluded_workers(now_s):
             return None
-        pause = WorkerExclusion(worker_id, now_s + record.pause_s)
-        record.pause_s = min(record.pause_s * 2, _LONGEST_PAUSE_S)
-        self._aside[worker_id] = pause
-        return pause
+        exclusion = WorkerExclusion(
+            worker_id,
+            now_s + record.next_exclusion_s,
+        )
+        record.next_exclusion_s = min(
+            record.next_exclusion_s * 2,
+            _MAX_EXCLUSION_S,
+        )
+        self._exclusions[worker_id] = exclusion
+        return exclusion
 
-    def aside(self, now_s: float) -> frozenset[WorkerId]:
-        """Return the workers that are set aside at present."""
+    def excluded_workers(self, now_s: float) -> frozenset[WorkerId]:
+        """Return the workers that are excluded at present."""
         return frozenset(
             worker_id
-            for worker_id, pause in self._aside.items()
-            if pause.until_s > now_s
+            for worker_id, exclusion in self._exclusions.items()
+            if exclusion.until_s > now_s
         )
--- a/tests/batch/fakes.py
+++ b/tests/batch/fakes.py
@@ -1,4 +1,4 @@
-"""A fleet of fake workers and owners of one job shard, for the batch tests."""
+"""Fake workers, fake capacity and owners of one job shard for the tests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
 import trio
 from trio.testing import wait_all_tasks_blocked
 
-from marjoramwharf.batch.capacity import NoWorkerFound, Reservation, ReservationRequest
+from marjoramwharf.batch.capacity import (
+    NoWorkerFound,
+    Reservation,
+    ReservationRequest,
+)
 from marjoramwharf.batch.job import JobSpec, TaskSpec
 from marjoramwharf.batch.journal import Journal
 from marjoramwharf.batch.ordering import ShardPolicy
@@ -32,7 +36,7 @@
 
 SHARD = ShardId(3)
 OWNER_KEY = '/own/jobs/3'
-PULSE_S = 0.1
+TICK_S = 0.1
 POLICY = ShardPolicy(quota_millicores=lambda team: 100_000)
 
 
@@ -43,7 +47,7 @@
     run_ms: int = 3,
     **fields: Any,
 ) -> JobSpec:
-    """Return a job whose tasks need ``run_ms`` pulses."""
+    """Return a job whose tasks need ``run_ms`` ticks."""
     task = TaskSpec(cpu_millicores=100, memory_mb=100, run_ms=run_ms)
     fields.setdefault('team', TeamId('team-1'))
     return JobSpec(
@@ -55,10 +59,10 @@
 
 @dataclass
 class FakeWorker:
-    """Runs tasks one unit of work per pulse.
+    """Does one unit of work of each running task per tick.
 
-    ``answers_to_lose`` starts are done and then not answered;
-    ``starts_to_delay`` starts are not answered and arrive at the next pulse.
+    ``answers_to_lose`` starts take effect, but their answers are lost.
+    ``starts_to_delay`` starts get no answer and take effect at the next tick.
     """
 
     worker_id: WorkerId
@@ -74,7 +78,7 @@
     refused: set[tuple[TaskId, tuple[int, int]]] = field(default_factory=set)
 
     async def start_task(self, start: TaskStart) -> TaskReport | WorkerRefusal:
-        """Start an attempt."""
+        """Serve a start, with the configured faults."""
         await self._enter()
         if self.starts_to_delay:
             self.starts_to_delay -= 1
@@ -93,7 +97,7 @@
         *,
         with_checkpoint: bool,
     ) -> TaskReport:
-        """Stop an attempt, or refuse it from now on."""
+        """Stop an attempt, or refuse its start from now on."""
         await self._enter()
         report = self.attempts.get(task_id)
         if report is None or report.fence != fence:
@@ -122,7 +126,7 @@
         )
 
     def begin(self, start: TaskStart) -> TaskReport | WorkerRefusal:
-        """Start an attempt, unless its fence is too low or refused."""
+        """Start an attempt, unless its fence is too low or was refused."""
         known = self.attempts.get(start.task_id)
         if known is not None and known.fence == start.fence:
             return known
@@ -143,15 +147,15 @@
         return self.attempts[start.task_id]
 
     def running(self) -> list[TaskStart]:
-        """Return the starts of the attempts that run."""
+        """Return the starts of the running attempts."""
         return [
             self.starts[task_id]
             for task_id, report in self.attempts.items()
             if report.phase is TaskPhase.RUNNING
         ]
 
-    def pulse(self) -> None:
-        """Let delayed starts arrive and do one unit of each attempt."""
+    def tick(self) -> None:
+        """Apply delayed starts and do one unit of work of each attempt."""
         while self.delayed:
             self.begin(self.delayed.pop(0))
         for start in self.running():
@@ -172,20 +176,23 @@
 
 @dataclass
 class FakeCapacity:
-    """Hands out the workers in turn; ``refusal`` answers every ask."""
+    """Reserves workers in turn; a ``refusal`` answers every request."""
 
     worker_ids: list[WorkerId]
     refusal: NoWorkerFound | None = None
     next_id: int = 0
     released: Counter[str] = field(default_factory=Counter)
 
-    async def reserve(self, ask: ReservationRequest) -> Reservation | NoWorkerFound:
-        """Reserve room on the next worker that is not to be avoided."""
+    async def reserve(
+        self,
+        request: ReservationRequest,
+    ) -> Reservation | NoWorkerFound:
+        """Reserve capacity on the next worker that is not to be avoided."""
         await trio.lowlevel.checkpoint()
         usable = [
             worker_id
             for worker_id in self.worker_ids
-            if worker_id not in ask.avoid_workers
+            if worker_id not in request.avoid_workers
         ]
         if self.refusal is not None or not usable:
             return self.refusal or NoWorkerFound()
@@ -197,16 +204,16 @@
         )
 
     async def release(self, reservation_id: str) -> None:
-        """Count a release."""
+        """Count the releases of a reservation."""
         await trio.lowlevel.checkpoint()
         self.released[reservation_id] += 1
 
 
-class World:
-    """The store and the workers, which outlive every entry."""
+class Cluster:
+    """The store and the workers, which outlive every shard owner."""
 
     def __init__(self, workers_count: int = 2) -> None:
-        """Start with an empty store."""
+        """Start with an empty store and idle workers."""
         self.store = MemoryStore()
         self.executed: Counter[tuple[TaskId, int]] = Counter()
         names = [WorkerId(f'w-{index}') for index in range(workers_count)]
@@ -221,8 +228,8 @@
         policy: ShardPolicy = POLICY,
         **options: Any,
     ) -> AsyncIterator[tuple[JobShard, JobRunner]]:
-        """Take the shard as a new owner and serve it in the block."""
-        shard = await self.take(policy, **options)
+        """Take over the shard as a new owner and serve it in the block."""
+        shard = await self.take_over(policy, **options)
         runner = JobRunner(self.capacity, self.agent_of)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(runner.serve_shard, shard)
@@ -233,12 +240,12 @@
             self.runners.remove(runner)
             nursery.cancel_scope.cancel()
 
-    async def take(
+    async def take_over(
         self,
         policy: ShardPolicy = POLICY,
         **options: Any,
     ) -> JobShard:
-        """Take the ownership record and read the journal."""
+        """Overwrite the ownership record and recover the journal."""
         self.epoch += 1
         body = str(self.epoch).encode()
         outcome = await self.store.commit(
@@ -256,19 +263,19 @@
         await journal.recover()
         return JobShard(SHARD, Epoch(self.epoch), journal, policy)
 
-    async def live(self) -> None:
+    async def run_workers(self) -> None:
         """Let the workers work and report until cancelled."""
         while True:
             for _ in range(5):
-                await trio.sleep(PULSE_S)
+                await trio.sleep(TICK_S)
                 self.check_exclusive()
                 for worker in self.workers.values():
-                    worker.pulse()
+                    worker.tick()
             for worker in tuple(self.workers.values()):
                 await self._report(worker)
 
     def check_exclusive(self) -> None:
-        """Fail if a task or an exclusive key runs twice at this moment."""
+        """Fail if a task or an exclusive key runs twice at this time."""
         running: Counter[str] = Counter()
         for worker in self.workers.values():
             for start in worker.running():
@@ -277,7 +284,7 @@
         assert not running or max(running.values()) == 1, running
 
     def agent_of(self, worker_id: WorkerId) -> Any:
-        """Return a worker; it has only the methods that tasks need."""
+        """Return a fake worker, which has only the methods for tasks."""
         return self.workers.get(worker_id)
 
     async def _report(self, worker: FakeWorker) -> None:
--- a/tests/batch/test_estimates.py
+++ b/tests/batch/test_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates: corrected sizes follow and cover the observed usage."""
+"""Size estimates: follow the observed usage and cover it."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class EstimateTests(unittest.TestCase):
-    """Guards against reservations far from the real size."""
+    """Guards against reservations far from the real usage of tasks."""
 
     def test_oversized_class_shrinks_after_enough_observations(self) -> None:
-        """Guards against a correction from too few observations."""
+        """Guards against a correction based on too few observations."""
         estimates = SizeEstimator()
         for count in range(40):
             size = estimates.correct('quote', _DECLARED, now_s=0)
@@ -38,7 +38,7 @@
         seen: list[int],
         used: int,
     ) -> None:
-        """Guards against a task that is given less than it uses."""
+        """Guards against a reservation smaller than the usage of its task."""
         estimates = SizeEstimator()
         for size in seen:
             estimates.observe('press', _DECLARED, Demand(size, size), now_s=0)
@@ -55,7 +55,7 @@
         self.assertLessEqual(above * 20, len(seen))
 
     def test_old_observations_decay(self) -> None:
-        """Guards against an estimate that a past burst keeps high."""
+        """Guards against an estimate that stays high after a past burst."""
         ratio = DecayingHistogram(half_life_s=60)
         for _ in range(100):
             ratio.observe(5, now_s=0)
--- a/tests/batch/test_http_api.py
+++ b/tests/batch/test_http_api.py
@@ -1,4 +1,4 @@
-"""HTTP interface: routing by shard, typed errors and size limits."""
+"""HTTP API of jobs: routing by shard, typed errors and size limits."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from marjoramwharf.batch.shard import JobShard
 from marjoramwharf.errors import PeerUnreachable
 from marjoramwharf.ids import ShardId
-from tests.batch.fakes import SHARD, World
+from tests.batch.fakes import SHARD, Cluster
 
 _TASK = {'cpu_millicores': 1, 'memory_mb': 1, 'run_ms': 1}
 _JOB = {'tasks': [_TASK], 'priority': 'urgent'}
@@ -23,15 +23,15 @@
 
 
 class HttpTests(unittest.TestCase):
-    """Guards against answers that callers can't act on."""
+    """Guards against answers from which a caller can't tell what to do."""
 
     def setUp(self) -> None:
-        """Start with an empty store and a peer that answers."""
-        self.world = World()
+        """Start with an empty store and a reachable peer."""
+        self.cluster = Cluster()
         self.is_peer_lost = False
 
     def test_job_goes_through_its_states(self) -> None:
-        """Guards against an id that the other calls don't accept."""
+        """Guards against a job id that the other endpoints don't accept."""
 
         async def script(client: Any) -> None:
             job_id = await self._submit(client)
@@ -48,7 +48,7 @@
         self._serve(script)
 
     def test_many_jobs_are_cancelled_with_one_call(self) -> None:
-        """Guards against an unknown id that stops a wave."""
+        """Guards against an unknown id that makes the whole request fail."""
 
         async def script(client: Any) -> None:
             job_id = await self._submit(client)
@@ -104,10 +104,10 @@
         self._serve(script)
 
     def test_outage_says_not_run_and_when_to_retry(self) -> None:
-        """Guards against an outage that looks like an accepted job."""
+        """Guards against a store outage answered like an accepted job."""
 
         async def script(client: Any) -> None:
-            self.world.store.is_down = True
+            self.cluster.store.is_down = True
             answer = await client.post('/v1/jobs', json=_JOB, headers=_HEADERS)
             fields = await self._expect(answer, 503, 'store_unavailable')
             self.assertEqual(fields['outcome'], 'not_run')
@@ -115,7 +115,7 @@
 
         self._serve(script)
 
-    def test_lost_peer_is_unknown_for_a_submission(self) -> None:
+    def test_submission_to_a_lost_peer_is_unknown(self) -> None:
         """Guards against "not run" for a job that the peer accepted."""
 
         async def script(client: Any) -> None:
@@ -152,7 +152,7 @@
 
     def _serve(self, script: Callable[[Any], Awaitable[None]]) -> None:
         async def serve() -> None:
-            shard = await self.world.take()
+            shard = await self.cluster.take_over()
             app = QuartTrio(__name__)
             app.register_blueprint(
                 jobs_blueprint(
--- a/tests/batch/test_journal.py
+++ b/tests/batch/test_journal.py
@@ -16,16 +16,16 @@
     StoreUnavailable,
 )
 from marjoramwharf.links.store import Write
-from tests.batch.fakes import World, job_spec
+from tests.batch.fakes import Cluster, job_spec
 
 
 class JournalTests(unittest.TestCase):
-    """Guards against accepted jobs that the store does not hold."""
+    """Guards against accepted jobs that are missing in the store."""
 
     def setUp(self) -> None:
         """Start with an empty store."""
-        self.world = World()
-        self.store = self.world.store
+        self.cluster = Cluster()
+        self.store = self.cluster.store
 
     def test_events_share_a_write(self) -> None:
         """Guards against one store write per job."""
@@ -52,7 +52,7 @@
         self.assertEqual(len(self._keys('/log/')), 1)
 
     def test_outage_is_not_run(self) -> None:
-        """Guards against a refused job that is kept in memory."""
+        """Guards against a rejected job that stays in memory."""
 
         async def script(shard: JobShard) -> None:
             self.store.is_down = True
@@ -67,7 +67,7 @@
         self.assertEqual(len(self._recovered().state.jobs), 1)
 
     def test_unsettled_write_is_unknown(self) -> None:
-        """Guards against "not run" for a write that may have arrived."""
+        """Guards against "not run" for a write that the store may have."""
 
         async def script(shard: JobShard) -> None:
             self.store.answers_to_lose = 1
@@ -87,7 +87,7 @@
 
         async def script(shard: JobShard) -> None:
             await shard.submit(job_spec('a'), 0)
-            successor = await self.world.take()
+            successor = await self.cluster.take_over()
             await successor.journal.snapshot()
             with self.assertRaises(NotOwner):
                 await shard.submit(job_spec('b'), 0)
@@ -98,11 +98,11 @@
         self.assertEqual(len(self._recovered().state.jobs), 1)
 
     def test_former_owner_after_compaction_is_refused(self) -> None:
-        """Guards against a write at a log key that was compacted away."""
+        """Guards against a former owner that writes a deleted log key again."""
 
         async def script(shard: JobShard) -> None:
             await shard.submit(job_spec('a'), 0)
-            successor = await self.world.take()
+            successor = await self.cluster.take_over()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(successor.journal.run)
                 await successor.submit(job_spec('c'), 0)
@@ -113,8 +113,8 @@
 
         self._serve(script)
 
-    def test_half_a_snapshot_loses_nothing(self) -> None:
-        """Guards against a crash between two parts or two deletions."""
+    def test_incomplete_snapshot_loses_nothing(self) -> None:
+        """Guards against lost jobs after a crash between two writes."""
         for writes_count in range(8):
             with self.subTest(writes_count=writes_count):
                 self.setUp()
@@ -122,7 +122,7 @@
                 self.assertEqual(len(self._recovered().state.jobs), 30)
 
     def test_parts_are_bounded_and_log_is_compacted(self) -> None:
-        """Guards against values above the limit and an endless log."""
+        """Guards against values above the limit and a log that only grows."""
 
         async def script(shard: JobShard) -> None:
             for number in range(30):
@@ -169,7 +169,7 @@
     def _recovered(self) -> JobShard:
         self.store.delay_s = 0
         self.store.is_down = False
-        return trio.run(self.world.take)
+        return trio.run(self.cluster.take_over)
 
     def _serve(self, script: Callable[[JobShard], Awaitable[None]]) -> None:
         trio.run(
@@ -182,7 +182,7 @@
         self,
         script: Callable[[JobShard], Awaitable[None]],
     ) -> None:
-        shard = await self.world.take(snapshot_part_bytes=1024)
+        shard = await self.cluster.take_over(snapshot_part_bytes=1024)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(shard.journal.run)
             await script(shard)
--- a/tests/batch/test_lifecycle.py
+++ b/tests/batch/test_lifecycle.py
@@ -1,7 +1,7 @@
 """Lifecycle of jobs across faults and changes of owner.
 
-Each rule runs a new owner for a while and then kills it at an arbitrary
-point, with the store and the workers going on.
+Each rule runs a new shard owner for a while and then kills it at an arbitrary
+point, while the store and the workers keep running.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from marjoramwharf.batch.shard import JobShard
 from marjoramwharf.errors import Failure, StoreAnswerLost
 from marjoramwharf.ids import JobId
-from tests.batch.fakes import World, job_spec
+from tests.batch.fakes import Cluster, job_spec
 
 Script = Callable[[JobShard, JobRunner], Awaitable[None]]
 
 _SECONDS = st.sampled_from((0.05, 0.3, 0.75, 1.6))
-_HEALING_S = 120
+_RECOVERY_TIMEOUT_S = 120
 
 
 class JobLifecycle(RuleBasedStateMachine):
@@ -38,14 +38,14 @@
     def __init__(self) -> None:
         """Start with an empty store and idle workers."""
         super().__init__()
-        self.world = World()
+        self.cluster = Cluster()
         self.accepted: set[JobId] = set()
         self.not_run: set[JobId] = set()
         self.cancelled: set[JobId] = set()
 
     @initialize(exclusive_key=st.sampled_from((None, 'press')))
     def begin(self, exclusive_key: str | None) -> None:
-        """Have work from the start, so that the faults meet some."""
+        """Submit jobs first, so that the faults of later steps affect them."""
 
         async def script(shard: JobShard, runner: JobRunner) -> None:
             for key in ('x', 'y'):
@@ -87,14 +87,14 @@
         )
 
         async def script(shard: JobShard, runner: JobRunner) -> None:
-            self.world.store.answers_to_lose = lose
-            self.world.store.is_down = is_down
+            self.cluster.store.answers_to_lose = lose
+            self.cluster.store.is_down = is_down
             job_id = job_id_of(spec, shard.shard)
             is_known = job_id in shard.state.jobs
             self.not_run.discard(job_id)
             with trio.move_on_after(seconds):
                 try:
-                    await shard.submit(spec, now_ms=self.world.epoch)
+                    await shard.submit(spec, now_ms=self.cluster.epoch)
                 except StoreAnswerLost:
                     return
                 except Failure:
@@ -120,14 +120,14 @@
         unreachable: bool,
         seconds: float,
     ) -> None:
-        """Lose answers of the store and of a worker."""
+        """Lose answers of the store and a worker, or cut the worker off."""
 
         async def script(shard: JobShard, runner: JobRunner) -> None:
-            worker = next(iter(self.world.workers.values()))
+            worker = next(iter(self.cluster.workers.values()))
             worker.answers_to_lose = lose_answers
             worker.starts_to_delay = delay_starts
             worker.is_reachable = not unreachable
-            self.world.store.answers_to_lose = lose_writes
+            self.cluster.store.answers_to_lose = lose_writes
             await trio.sleep(seconds)
 
         self._run(script)
@@ -138,20 +138,20 @@
 
         async def script(shard: JobShard, runner: JobRunner) -> None:
             await trio.sleep(seconds)
-            self.world.store.is_down = True
+            self.cluster.store.is_down = True
             await trio.sleep(down_s)
-            self.world.store.is_down = False
+            self.cluster.store.is_down = False
             await trio.sleep(seconds)
 
         self._run(script)
 
     @rule(seconds=_SECONDS, lose=st.integers(0, 1))
     def evict(self, seconds: float, lose: int) -> None:
-        """Evict everything that runs, and go on."""
+        """Evict all tasks, then let them resume."""
 
         async def script(shard: JobShard, runner: JobRunner) -> None:
             await trio.sleep(seconds)
-            self.world.store.answers_to_lose = lose
+            self.cluster.store.answers_to_lose = lose
             for task_id in tuple(shard.state.tasks):
                 await runner.evict(task_id)
             await trio.sleep(seconds)
@@ -159,12 +159,12 @@
         self._run(script)
 
     @rule(seconds=_SECONDS, second_s=_SECONDS)
-    def usurp(self, seconds: float, second_s: float) -> None:
-        """Let a former owner go on next to the new one."""
+    def takeover(self, seconds: float, second_s: float) -> None:
+        """Let a former owner keep running beside the new one."""
 
         async def script(shard: JobShard, runner: JobRunner) -> None:
             await trio.sleep(seconds)
-            async with self.world.owner():
+            async with self.cluster.owner():
                 await trio.sleep(second_s)
 
         self._run(script)
@@ -183,23 +183,23 @@
 
     @invariant()
     def no_unit_is_done_twice(self) -> None:
-        """Every unit of work is done at most once: resume is exact."""
+        """Tasks resume exactly: no unit of work is done more than once."""
         repeated = {
             unit: count
-            for unit, count in self.world.executed.items()
+            for unit, count in self.cluster.executed.items()
             if count > 1
         }
         assert not repeated, repeated
 
     def teardown(self) -> None:
-        """Heal everything; each accepted job must then be done."""
+        """Remove all faults; each accepted job must then be done."""
 
         async def script(shard: JobShard, runner: JobRunner) -> None:
-            for worker in self.world.workers.values():
+            for worker in self.cluster.workers.values():
                 worker.is_reachable = True
             assert not self.not_run.intersection(shard.state.jobs)
             for job_id in self.accepted:
-                status = await shard.wait(job_id, _HEALING_S)
+                status = await shard.wait(job_id, _RECOVERY_TIMEOUT_S)
                 assert status.state in FINAL_STATES, status
                 if job_id not in self.cancelled:
                     self._check_done(shard, job_id, status.state)
@@ -217,7 +217,7 @@
         spec = shard.state.jobs[job_id].spec
         for task in shard.state.tasks_of(job_id):
             for unit in range(spec.tasks[task.index].run_ms):
-                assert self.world.executed[task.task_id, unit] == 1
+                assert self.cluster.executed[task.task_id, unit] == 1
 
     def _run(self, script: Script) -> None:
         trio.run(
@@ -227,12 +227,12 @@
         )
 
     async def _serve(self, script: Script) -> None:
-        self.world.store.is_down = False
-        self.world.store.answers_to_lose = 0
-        self.world.runners.clear()
+        self.cluster.store.is_down = False
+        self.cluster.store.answers_to_lose = 0
+        self.cluster.runners.clear()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.world.live)
-            async with self.world.owner(snapshot_after_entries_count=3) as (
+            nursery.start_soon(self.cluster.run_workers)
+            async with self.cluster.owner(snapshot_after_entries_count=3) as (
                 shard,
                 runner,
             ):
--- a/tests/batch/test_placement.py
+++ b/tests/batch/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: capacity, spread over racks, interference and no fit."""
+"""Placement: capacity, spread over racks, interference, failures."""
 
 from __future__ import annotations
 
@@ -69,11 +69,11 @@
     )
     def test_capacity_is_never_exceeded(
         self,
-        asks: list[tuple[int, int, bool]],
+        requests: list[tuple[int, int, bool]],
     ) -> None:
-        """Guards against more work than a worker has room for."""
+        """Guards against tasks that exceed the capacity of their worker."""
         self.setUp()
-        for number, (cpu, memory, is_freed) in enumerate(asks):
+        for number, (cpu, memory, is_freed) in enumerate(requests):
             request = _request(number, Demand(cpu, memory))
             placed = self.index.place(request, 0)
             if not isinstance(placed, NoFit) and is_freed:
@@ -87,7 +87,7 @@
                 self.assertLessEqual(free.cpu_millicores, 32_000)
 
     def test_job_is_spread_over_racks(self) -> None:
-        """Guards against a job that one rack takes down."""
+        """Guards against a job whose tasks all fail with one rack."""
         racks: Counter[RackId] = Counter()
         for number in range(8):
             request = _request(number, Demand(1_000, 1_000))
@@ -97,7 +97,7 @@
         self.assertEqual(set(racks.values()), {2})
 
     def test_interference_is_avoided(self) -> None:
-        """Guards against a penalty that has no effect."""
+        """Guards against an interference penalty without effect."""
         index = PlacementIndex(
             lambda worker_id, task_class, now_s: worker_id != 'w-3',
         )
@@ -114,7 +114,7 @@
         self.assertEqual(needy, 'w-8')
 
     def test_no_fit_is_typed(self) -> None:
-        """Guards against a job that waits for a worker that never comes."""
+        """Guards against a job that waits for ever for a larger worker."""
         too_large = self.index.place(_request(0, Demand(32_001, 1)), 0)
         self.assertIs(too_large, NoFit.TOO_LARGE)
         for number in range(8):
@@ -125,8 +125,8 @@
         unknown = empty.place(_request(0, Demand(1, 1)), 0)
         self.assertIs(unknown, NoFit.FULL)
 
-    def test_closed_and_avoided_workers_get_nothing(self) -> None:
-        """Guards against work on workers that are leaving or failing."""
+    def test_cordoned_and_avoided_workers_get_nothing(self) -> None:
+        """Guards against tasks on workers that are leaving or failing."""
         for number in range(7):
             self.index.cordon(WorkerId(f'w-{number}'), until_s=10)
         request = _request(0, Demand(1, 1), avoid_workers=('w-7',))
@@ -134,7 +134,7 @@
         self.assertNotIsInstance(self.index.place(request, 10), NoFit)
 
     def test_removed_worker_is_not_used(self) -> None:
-        """Guards against a stale entry in a bucket."""
+        """Guards against a removed worker that stays in a bucket."""
         for number in range(7):
             self.index.remove(WorkerId(f'w-{number}'))
         placed = self.index.place(_request(0, Demand(1, 1)), 0)
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -1,4 +1,4 @@
-"""Runner: the order of its steps and what it does about bad workers."""
+"""Job runner: order of its steps, failing and unreachable workers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from marjoramwharf.errors import Reason
 from marjoramwharf.ids import WorkerId
 from marjoramwharf.machines.calls import TaskPhase
-from tests.batch.fakes import World, job_spec
+from tests.batch.fakes import Cluster, job_spec
 
 _FIRST = WorkerId('w-0')
 _SECOND = WorkerId('w-1')
@@ -27,38 +27,38 @@
 
     def setUp(self) -> None:
         """Start with two idle workers."""
-        self.world = World()
+        self.cluster = Cluster()
 
-    def test_room_is_released_after_the_outcome(self) -> None:
-        """Guards against reservations that are kept for ever."""
+    def test_reservation_is_released_after_the_outcome(self) -> None:
+        """Guards against reservations that are never released."""
 
         async def script(shard: JobShard, runner: JobRunner) -> None:
             job_id = await shard.submit(job_spec('a', tasks_count=3), 0)
             await trio.sleep(0.2)
-            self.assertFalse(self.world.capacity.released)
+            self.assertFalse(self.cluster.capacity.released)
             status = await shard.wait(job_id, 60)
             self.assertIs(status.state, JobState.DONE)
             await trio.sleep(1)
             self.assertEqual(
-                dict(self.world.capacity.released),
+                dict(self.cluster.capacity.released),
                 {'r-1': 1, 'r-2': 1, 'r-3': 1},
             )
 
         self._serve(script)
 
     def test_unreachable_worker_keeps_its_tasks(self) -> None:
-        """Guards against a restart of what may still run."""
+        """Guards against a second start of a task that may still run."""
 
         async def script(shard: JobShard, runner: JobRunner) -> None:
             spec = job_spec('a', exclusive_key='die', run_ms=5)
             job_id = await shard.submit(spec, 0)
             await trio.sleep(0.3)
             held = next(iter(runner.held_workers()))
-            self.world.workers[held].is_reachable = False
+            self.cluster.workers[held].is_reachable = False
             self.assertFalse(await runner.evict(next(iter(shard.state.tasks))))
             status = await shard.wait(job_id, 600)
             self.assertIs(status.state, JobState.RUNNING)
-            self.world.workers[held].attempts.clear()
+            self.cluster.workers[held].attempts.clear()
             runner.on_instance_gone(held)
             status = await shard.wait(job_id, 600)
             self.assertIs(status.state, JobState.DONE)
@@ -69,24 +69,25 @@
         """Guards against a worker that fails every task it gets."""
 
         async def script(shard: JobShard, runner: JobRunner) -> None:
-            self.world.workers[_FIRST].is_failing = True
+            self.cluster.workers[_FIRST].is_failing = True
             for number in range(12):
                 spec = job_spec(str(number), max_failures_count=20)
                 await shard.submit(spec, 0)
             await trio.sleep(10)
             self.assertEqual(
-                runner.failing.aside(trio.current_time()), {_FIRST}
+                runner.worker_failures.excluded_workers(trio.current_time()),
+                {_FIRST},
             )
             done = await shard.list_jobs(state=JobState.DONE)
             self.assertEqual(len(done), 12)
 
         self._serve(script)
 
-    def test_job_that_never_fits_is_set_aside(self) -> None:
-        """Guards against endless asks for a worker that does not exist."""
+    def test_job_that_never_fits_is_impossible(self) -> None:
+        """Guards against endless requests for a worker that can't exist."""
 
         async def script(shard: JobShard, runner: JobRunner) -> None:
-            self.world.capacity.refusal = NoWorkerFound(Reason.NEVER_FITS)
+            self.cluster.capacity.refusal = NoWorkerFound(Reason.NEVER_FITS)
             job_id = await shard.submit(job_spec('a'), 0)
             await trio.sleep(1)
             status = await shard.status(job_id)
@@ -95,23 +96,23 @@
         self._serve(script)
 
     def test_stray_attempt_is_stopped(self) -> None:
-        """Guards against work that goes on after it was given up."""
+        """Guards against an attempt that runs on after it was given up."""
 
         async def script(shard: JobShard, runner: JobRunner) -> None:
             await shard.submit(job_spec('a', run_ms=900), 0)
             await trio.sleep(0.3)
             held = next(iter(runner.held_workers()))
             other = _FIRST if held == _SECOND else _SECOND
-            self.world.workers[held].is_reachable = False
-            self.world.capacity.worker_ids = [other]
-            stray = self.world.workers[held].attempts
-            self.world.workers[held].attempts = {}
+            self.cluster.workers[held].is_reachable = False
+            self.cluster.capacity.worker_ids = [other]
+            stray = self.cluster.workers[held].attempts
+            self.cluster.workers[held].attempts = {}
             runner.on_instance_gone(held)
             await trio.sleep(3)
             self.assertEqual(runner.held_workers(), {other})
-            self.world.workers[held].is_reachable = True
-            self.world.workers[held].attempts = stray
-            reply = await self.world.workers[held].heartbeat()
+            self.cluster.workers[held].is_reachable = True
+            self.cluster.workers[held].attempts = stray
+            reply = await self.cluster.workers[held].heartbeat()
             await runner.on_lease_reply(held, reply)
             phases = {report.phase for report in stray.values()}
             self.assertEqual(phases, {TaskPhase.STOPPED})
@@ -126,7 +127,7 @@
             await shard.submit(job_spec('a', run_ms=900), 0)
             await trio.sleep(0.3)
             held = next(iter(runner.held_workers()))
-            worker = self.world.workers[held]
+            worker = self.cluster.workers[held]
             task_id, first = next(iter(worker.attempts.items()))
             newer = replace(first, fence=(2, 2))
             worker.attempts = {task_id: newer}
@@ -136,14 +137,14 @@
         self._serve(script)
 
     def test_reports_of_other_shards_are_returned(self) -> None:
-        """Guards against an end that reaches no owner."""
+        """Guards against a report that never reaches its shard's owner."""
 
         async def script(shard: JobShard, runner: JobRunner) -> None:
             await shard.submit(job_spec('a'), 0)
             await trio.sleep(0.3)
             held = next(iter(runner.held_workers()))
-            reply = await self.world.workers[held].heartbeat()
-            idle = JobRunner(self.world.capacity, self.world.agent_of)
+            reply = await self.cluster.workers[held].heartbeat()
+            idle = JobRunner(self.cluster.capacity, self.cluster.agent_of)
             foreign = await idle.on_lease_reply(held, reply)
             self.assertEqual(foreign, reply.tasks)
 
@@ -155,8 +156,8 @@
     ) -> None:
         async def serve() -> None:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.world.live)
-                async with self.world.owner() as (shard, runner):
+                nursery.start_soon(self.cluster.run_workers)
+                async with self.cluster.owner() as (shard, runner):
                     await script(shard, runner)
                 nursery.cancel_scope.cancel()
 
--- a/tests/batch/test_shard.py
+++ b/tests/batch/test_shard.py
@@ -1,4 +1,4 @@
-"""Job shard: repeats, quotas, order, exclusive keys and counted ends."""
+"""Job shard: repeats, quotas, order, exclusive keys and ends."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     TaskReport,
     TaskStart,
 )
-from tests.batch.fakes import POLICY, World, job_spec
+from tests.batch.fakes import POLICY, Cluster, job_spec
 
 _WORKER = WorkerId('w-0')
 
@@ -29,7 +29,7 @@
 
     def setUp(self) -> None:
         """Start with an empty store."""
-        self.world = World()
+        self.cluster = Cluster()
 
     def test_repeat_returns_the_same_job(self) -> None:
         """Guards against a job that runs twice after a repeated call."""
@@ -77,7 +77,7 @@
         self._serve(script, policy)
 
     def test_exclusive_key_is_held_until_the_worker_confirms(self) -> None:
-        """Guards against a die-wear batch that runs in two places."""
+        """Guards against a second job with the key while the first may run."""
 
         async def script(shard: JobShard) -> None:
             first = await shard.submit(job_spec('a', exclusive_key='die'), 0)
@@ -86,7 +86,7 @@
             assert start is not None
             await shard.cancel([first])
             self.assertEqual(shard.ready(9), [])
-            await shard.record(_report(start, TaskPhase.STOPPED))
+            await shard.record_end(_report(start, TaskPhase.STOPPED))
             self.assertEqual(self._key_of(shard, shard.ready(9)[0]), 'b')
             second = await self._start(shard, shard.ready(9)[0])
             assert second is not None
@@ -94,40 +94,42 @@
 
         self._serve(script)
 
-    def test_end_counts_once_by_attempt(self) -> None:
-        """Guards against a late report of a former attempt."""
+    def test_end_is_recorded_once_per_attempt(self) -> None:
+        """Guards against a late report that ends a newer attempt."""
 
         async def script(shard: JobShard) -> None:
             await shard.submit(job_spec('a'), 0)
             old = await self._start(shard, shard.ready(1)[0])
             assert old is not None
-            await shard.record(_report(old, TaskPhase.STOPPED, checkpoint=2))
+            await shard.record_end(
+                _report(old, TaskPhase.STOPPED, checkpoint=2),
+            )
             new = await self._start(shard, shard.ready(1)[0])
             assert new is not None
             self.assertEqual(new.checkpoint, 2)
             late = _report(old, TaskPhase.FINISHED)
-            self.assertIsNone(await shard.record(late))
+            self.assertIsNone(await shard.record_end(late))
             done = _report(new, TaskPhase.FINISHED)
-            self.assertIsNotNone(await shard.record(done))
-            self.assertIsNone(await shard.record(done))
+            self.assertIsNotNone(await shard.record_end(done))
+            self.assertIsNone(await shard.record_end(done))
 
         self._serve(script)
 
     def test_failures_are_limited(self) -> None:
-        """Guards against a task that fails for ever."""
+        """Guards against a failing task that is retried for ever."""
 
         async def script(shard: JobShard) -> None:
             job_id = await shard.submit(job_spec('a', max_failures_count=2), 0)
             for _ in range(2):
                 start = await self._start(shard, shard.ready(1)[0])
                 assert start is not None
-                await shard.record(_report(start, TaskPhase.FAILED))
+                await shard.record_end(_report(start, TaskPhase.FAILED))
             status = await shard.status(job_id)
             self.assertIs(status.state, JobState.FAILED)
 
         self._serve(script)
 
-    def test_wave_of_cancellations_takes_few_writes(self) -> None:
+    def test_mass_cancellation_takes_few_writes(self) -> None:
         """Guards against one write per cancelled job."""
 
         async def script(shard: JobShard) -> None:
@@ -135,10 +137,10 @@
                 for number in range(3000):
                     spec = job_spec(str(number))
                     nursery.start_soon(shard.submit, spec, 0)
-            before = self.world.store.writes_count
+            before = self.cluster.store.writes_count
             known = await shard.cancel(list(shard.state.jobs))
             self.assertEqual(len(known), 3000)
-            self.assertEqual(self.world.store.writes_count - before, 1)
+            self.assertEqual(self.cluster.store.writes_count - before, 1)
             cancelled = await shard.list_jobs(
                 state=JobState.CANCELLED,
                 limit=5000,
@@ -148,7 +150,7 @@
         self._serve(script)
 
     def test_impossible_job_has_a_reason_and_can_return(self) -> None:
-        """Guards against a job that blocks others or is lost for ever."""
+        """Guards against an impossible job that is retried or lost for ever."""
 
         async def script(shard: JobShard) -> None:
             job_id = await shard.submit(job_spec('a'), 0)
@@ -177,8 +179,8 @@
 
         self._serve(script)
 
-    def test_old_jobs_are_forgotten(self) -> None:
-        """Guards against a state that only grows."""
+    def test_old_jobs_are_removed(self) -> None:
+        """Guards against a shard state that grows without bound."""
 
         async def script(shard: JobShard) -> None:
             job_id = await shard.submit(job_spec('a'), 0)
@@ -197,7 +199,7 @@
         async def script(shard: JobShard) -> None:
             await shard.submit(job_spec('a'), 0)
             await self._start(shard, shard.ready(1)[0])
-            freed = await shard.instance_gone(_WORKER)
+            freed = await shard.end_attempts_on(_WORKER)
             self.assertEqual([one.reservation_id for one in freed], ['r'])
             task = shard.ready(1)[0]
             self.assertIs(task.state, TaskState.WAITING)
@@ -224,7 +226,7 @@
         policy: ShardPolicy = POLICY,
     ) -> None:
         async def serve() -> None:
-            shard = await self.world.take(policy)
+            shard = await self.cluster.take_over(policy)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(shard.journal.run)
                 await script(shard)
--- a/tests/batch/test_task_starter.py
+++ b/tests/batch/test_task_starter.py
@@ -1,4 +1,4 @@
-"""Starts of tasks whose job changed meanwhile."""
+"""Task starter: a task whose job was removed before its start."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 import trio
 from trio.testing import MockClock
 
-from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.batch.job import Task
 from marjoramwharf.batch.outcomes import OutcomeCommitter
 from marjoramwharf.batch.retry_pauses import RetryPauses
 from marjoramwharf.batch.task_starter import TaskStarter
+from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.ids import JobId, TaskId
-from tests.batch.fakes import World
+from tests.batch.fakes import Cluster
 
 
-class StartsTests(unittest.TestCase):
-    """Guards against an entry that ends because of one task."""
+class TaskStarterTests(unittest.TestCase):
+    """Guards against an entry that crashes because of one task."""
 
     def test_start_of_a_reverted_submission_is_dropped(self) -> None:
-        """Guards against a job whose write the store refused meanwhile."""
-        world = World()
-        failing = WorkerFailureTracker()
-        starts = TaskStarter(
-            world.capacity,
-            world.agent_of,
-            OutcomeCommitter({}, world.capacity, failing),
+        """Guards against an exception after the job's write was refused."""
+        cluster = Cluster()
+        worker_failures = WorkerFailureTracker()
+        starter = TaskStarter(
+            cluster.capacity,
+            cluster.agent_of,
+            OutcomeCommitter({}, cluster.capacity, worker_failures),
             RetryPauses(1),
-            failing,
+            worker_failures,
             lambda size: size.demand,
         )
 
         async def start() -> None:
-            shard = await world.take()
-            await starts.start(shard, Task(TaskId('0-a.0'), JobId('0-a'), 0))
+            shard = await cluster.take_over()
+            await starter.start(shard, Task(TaskId('0-a.0'), JobId('0-a'), 0))
 
         trio.run(start, clock=MockClock(autojump_threshold=0))
-        self.assertEqual(world.capacity.next_id, 0)
+        self.assertEqual(cluster.capacity.next_id, 0)
