--- a/src/marjoramwharf/programs/_job_shards.py
+++ b/src/marjoramwharf/programs/_job_shards.py
@@ -140,7 +140,9 @@
                 await trio.sleep(_RECOVER_PAUSE_S)
             else:
                 break
-        await self._runner.serve_shard(JobShard(shard, epoch, journal, self._policy))
+        await self._runner.serve_shard(
+            JobShard(shard, epoch, journal, self._policy)
+        )
 
     async def _hand_over(self, shard: ShardId) -> None:
         owned = self._runner.shard(shard)
--- a/src/marjoramwharf/programs/_task_placement.py
+++ b/src/marjoramwharf/programs/_task_placement.py
@@ -5,7 +5,11 @@
 import random
 from collections.abc import Callable, Collection, Mapping
 
-from marjoramwharf.batch.capacity import NoWorkerFound, Reservation, ReservationRequest
+from marjoramwharf.batch.capacity import (
+    NoWorkerFound,
+    Reservation,
+    ReservationRequest,
+)
 from marjoramwharf.batch.placement import (
     NoFit,
     PlacementIndex,
@@ -140,7 +144,9 @@
         """Take over the free processors of a peer's workers."""
         self._free_millicores[sender] = news.free_millicores or 0
 
-    async def reserve(self, ask: ReservationRequest) -> Reservation | NoWorkerFound:
+    async def reserve(
+        self, ask: ReservationRequest
+    ) -> Reservation | NoWorkerFound:
         """Ask a few owners, at random in proportion to what is free there.
 
         An owner whose answer was lost frees the reservation after the worker
--- a/tests/programs/test_task_placement.py
+++ b/tests/programs/test_task_placement.py
@@ -10,7 +10,11 @@
 import trio
 from trio.testing import MockClock
 
-from marjoramwharf.batch.capacity import NoWorkerFound, Reservation, ReservationRequest
+from marjoramwharf.batch.capacity import (
+    NoWorkerFound,
+    Reservation,
+    ReservationRequest,
+)
 from marjoramwharf.batch.job import JobPriority
 from marjoramwharf.contracts.desk import OwnerDesk, Placement
 from marjoramwharf.contracts.ledger import WorkerLedger
