--- a/src/marjoramwharf/batch/outcomes.py
+++ b/src/marjoramwharf/batch/outcomes.py
@@ -11,9 +11,9 @@
 import trio
 
 from marjoramwharf.batch.capacity import CapacityClient
+from marjoramwharf.batch.failing_workers import WorkerFailureTracker
 from marjoramwharf.batch.job import Placement, parse_shard_id
 from marjoramwharf.batch.shard import JobShard
-from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.errors import Failure
 from marjoramwharf.ids import JobId, ShardId, WorkerId
 from marjoramwharf.logs import part_logger
--- a/src/marjoramwharf/batch/runner.py
+++ b/src/marjoramwharf/batch/runner.py
@@ -16,6 +16,7 @@
 import trio
 
 from marjoramwharf.batch.capacity import CapacityClient
+from marjoramwharf.batch.failing_workers import WorkerFailureTracker
 from marjoramwharf.batch.job import HELD_STATES, Task, TaskSpec, parse_shard_id
 from marjoramwharf.batch.ordering import ready_tasks
 from marjoramwharf.batch.outcomes import OutcomeCommitter
@@ -27,7 +28,6 @@
 )
 from marjoramwharf.batch.shard import JobShard
 from marjoramwharf.batch.task_starter import TaskStarter
-from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.ids import ShardId, TaskId, WorkerId
 from marjoramwharf.machines.calls import Demand, LeaseReply, TaskReport
 
--- a/src/marjoramwharf/batch/task_starter.py
+++ b/src/marjoramwharf/batch/task_starter.py
@@ -13,12 +13,12 @@
     Reservation,
     ReservationRequest,
 )
+from marjoramwharf.batch.failing_workers import WorkerFailureTracker
 from marjoramwharf.batch.job import Task, TaskSpec
 from marjoramwharf.batch.outcomes import OutcomeCommitter
 from marjoramwharf.batch.retry_pauses import RetryPauses
 from marjoramwharf.batch.settling import RUNNING_PHASES, AgentLookup
 from marjoramwharf.batch.shard import JobShard
-from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.errors import (
     Failure,
     Reason,
--- a/tests/batch/test_worker_failures.py
+++ b/tests/batch/test_failing_workers.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from marjoramwharf.batch.worker_failures import WorkerFailureTracker
+from marjoramwharf.batch.failing_workers import WorkerFailureTracker
 from marjoramwharf.errors import Reason
 from marjoramwharf.ids import JobId, WorkerId
 
--- a/tests/batch/test_task_starter.py
+++ b/tests/batch/test_task_starter.py
@@ -1,4 +1,4 @@
-"""Task starter: a task whose job was removed before its start."""
+"""Starts of tasks whose job was removed in the meantime."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 import trio
 from trio.testing import MockClock
 
+from marjoramwharf.batch.failing_workers import WorkerFailureTracker
 from marjoramwharf.batch.job import Task
 from marjoramwharf.batch.outcomes import OutcomeCommitter
 from marjoramwharf.batch.retry_pauses import RetryPauses
 from marjoramwharf.batch.task_starter import TaskStarter
-from marjoramwharf.batch.worker_failures import WorkerFailureTracker
 from marjoramwharf.ids import JobId, TaskId
 from tests.batch.fakes import Cluster
 
 
 class TaskStarterTests(unittest.TestCase):
-    """Guards against an entry that crashes because of one task."""
+    """Guards against an entry that ends because of one task."""
 
     def test_start_of_a_reverted_submission_is_dropped(self) -> None:
         """Guards against an exception after the job's write was refused."""
