--- a/src/marjoramwharf/programs/_batch_path.py
+++ b/src/marjoramwharf/programs/_batch_path.py
@@ -12,7 +12,7 @@
 from marjoramwharf.batch.http_api import jobs_blueprint
 from marjoramwharf.batch.job import TaskSpec
 from marjoramwharf.batch.ordering import ShardPolicy
-from marjoramwharf.batch.runner import Runner
+from marjoramwharf.batch.runner import JobRunner
 from marjoramwharf.contracts.lending import CapacityManager
 from marjoramwharf.contracts.note_registry import ActiveConfiguration
 from marjoramwharf.contracts.ownership import (
@@ -114,7 +114,7 @@
             get_agent=self._get_agent,
             clock=parts.clock,
         )
-        self.runner = Runner(
+        self.runner = JobRunner(
             self.capacity,
             self._get_agent,
             size_of=self._size_of,
@@ -274,7 +274,7 @@
             self._parts.capacity_manager.allocator.forget_ended()
             for owned in self.runner.shards():
                 try:
-                    await owned.forget_old(now_ms())
+                    await owned.forget_expired_jobs(now_ms())
                 except Failure as failure:
                     _log.info('not forgotten', reason=failure.reason.value)
 
