--- a/src/marjoramwharf/cells/advice.py
+++ b/src/marjoramwharf/cells/advice.py
@@ -19,7 +19,7 @@
 from marjoramwharf.ids import WorkerId
 from marjoramwharf.logs import part_logger
 from marjoramwharf.scheduling.fleet import Fleet
-from marjoramwharf.scheduling.job_book import JobBook, job_of
+from marjoramwharf.scheduling.job_table import JobTable, job_of
 from marjoramwharf.scheduling.job_state import Step, Task
 from marjoramwharf.scheduling.ordering import queue_of
 from marjoramwharf.scheduling.policy import AdvicePolicy, Configuration
@@ -71,7 +71,7 @@
     """
 
     calls: AdviceCalls | None
-    book: JobBook
+    job_table: JobTable
     fleet: Fleet
     configuration: Callable[[], Configuration | None]
     on_change: Callable[[], None]
@@ -109,10 +109,10 @@
 
     def _next_task(self) -> Task | None:
         """Return the first ready task whose step has no usable tickets."""
-        live = {id(task.step) for task in self.book.ready.values()}
+        live = {id(task.step) for task in self.job_table.ready.values()}
         for gone in self._known.keys() - live:
             self._known.pop(gone)
-        for task in self.book.ready.values():
+        for task in self.job_table.ready.values():
             if self._policy(task) is not None:
                 known = self._known.get(id(task.step))
                 if known is None or known.usable_until_s <= boot_s():
@@ -155,10 +155,15 @@
         service = queue_of(task, queues).service or job_of(task).request.service
         usable = [
             worker
-            for worker in self.fleet.of_service(service)
-            if worker.is_usable(now_s) and worker.could_hold(task.step.request)
+            for worker in self.fleet.workers_of(service)
+            if worker.is_usable(now_s)
+            and worker.could_ever_run(task.step.request)
         ]
-        usable.sort(key=lambda worker: worker.cpu_used + worker.fill_cpu)
+        usable.sort(
+            key=lambda worker: (
+                worker.reserved_millicores + worker.filling_millicores
+            )
+        )
         return [
             worker.worker_id
             for worker in usable
--- a/src/marjoramwharf/cells/cell.py
+++ b/src/marjoramwharf/cells/cell.py
@@ -28,7 +28,7 @@
 from marjoramwharf.links.follower import Follower
 from marjoramwharf.logs import part_logger
 from marjoramwharf.scheduling.interference import InterferenceModel
-from marjoramwharf.scheduling.job_book import JobBook, job_of
+from marjoramwharf.scheduling.job_table import JobTable, job_of
 from marjoramwharf.scheduling.job_state import (
     Job,
     JobPhase,
@@ -76,7 +76,7 @@
     is_loaded: bool = False
     is_stopping: bool = False
     taken_s: float = field(default_factory=boot_s)
-    book: JobBook = field(default_factory=JobBook)
+    job_table: JobTable = field(default_factory=JobTable)
     board: WorkerBoard = field(init=False)
     _model: InterferenceModel = field(default_factory=InterferenceModel)
     _plan_signal: Signal = field(default_factory=Signal)
@@ -94,7 +94,7 @@
         self.board = WorkerBoard(
             prefix=parts.workers_prefix,
             decode=parts.decode_listing,
-            book=self.book,
+            job_table=self.job_table,
             model=self._model,
             owner=self,
             terms=LinkTerms(
@@ -111,14 +111,14 @@
         self._writer = ProgressWriter(
             store=parts.store,
             cell=mandate.cell,
-            book=self.book,
+            job_table=self.job_table,
             owner=mandate.guard,
             on_stored=self._job_stored,
             counters=parts.counters,
         )
         self._inbox = Inbox(
             cell=mandate.cell,
-            book=self.book,
+            job_table=self.job_table,
             on_cancelled=self._stop_surplus,
             on_change=self._wake,
         )
@@ -130,13 +130,13 @@
         )
         self._tickets = TicketBook(
             calls=parts.advice,
-            book=self.book,
+            job_table=self.job_table,
             fleet=self.board.fleet,
             configuration=parts.configuration,
             on_change=self._plan_signal.set,
         )
         self._planner = Planner(
-            self.book,
+            self.job_table,
             self.board.fleet,
             self._model,
             self._tickets.tickets,
@@ -160,7 +160,7 @@
             'cell loaded',
             cell=self.mandate.cell,
             fence=self.mandate.guard.mod_revision,
-            jobs=len(self.book.jobs),
+            jobs=len(self.job_table.jobs),
             took_s=round(boot_s() - began_s, 3),
         )
         inbox = Follower(
@@ -191,10 +191,10 @@
 
     def status(self, job_id: JobId) -> ShownState | None:
         """Return the state of a job that may be shown, if it is known."""
-        job = self.book.jobs.get(job_id)
+        job = self.job_table.jobs.get(job_id)
         if job is None:
             return None
-        final = _SHOWN_FINAL.get(job.shown_phase)
+        final = _SHOWN_FINAL.get(job.stored_phase)
         if final is not None:
             return final
         if job.phase is JobPhase.CANCELLED:
@@ -206,20 +206,20 @@
 
         While none is known, every job counts as servable.
         """
-        workers = self.board.fleet.of_service(request.service)
+        workers = self.board.fleet.workers_of(request.service)
         listed = [
             worker
             for worker in workers
             if worker.listing.state is not WorkerState.GONE
         ]
         return not listed or all(
-            any(worker.could_hold(step) for worker in listed)
+            any(worker.could_ever_run(step) for worker in listed)
             for step in request.steps
         )
 
     def find_run(self, task: TaskId, number: int) -> Run | None:
         """Return a live run."""
-        return self.book.find_run(task, number)
+        return self.job_table.find_run(task, number)
 
     def may_hold(self) -> bool:
         """Whether this entry may still extend leases."""
@@ -234,7 +234,7 @@
         if run.started_s is None:
             waited_s = boot_s() - run.task.ready_since_s
             self.parts.counters.wait_samples_s.append(waited_s)
-        self.book.started(run, now_s=boot_s())
+        self.job_table.mark_started(run, now_s=boot_s())
         self._writer.wake()
 
     def run_ended(self, run: Run, how: RunEnd, saved: str) -> Job:
@@ -248,7 +248,7 @@
         self.board.release(run, how, now_s=now_s)
         if how not in {RunEnd.DONE, RunEnd.STOPPED}:
             log_end(run, how)
-        self.book.end(
+        self.job_table.end_run(
             run,
             how,
             saved=saved,
@@ -285,7 +285,7 @@
                 await trio.sleep(min(_PLAN_PERIOD_S, took_s * _REST_FACTOR))
 
     def _plan_pause_s(self) -> float:
-        due_ms = self.book.next_due_ms()
+        due_ms = self.job_table.next_due_ms()
         if due_ms is None:
             return _PLAN_PERIOD_S
         left_s = (due_ms - wall_ms()) / _MS_PER_S
@@ -297,7 +297,7 @@
             return
         now_s = boot_s()
         now_ms = wall_ms()
-        self.book.advance(now_s=now_s, now_ms=now_ms)
+        self.job_table.open_due_occurrences(now_s=now_s, now_ms=now_ms)
         planned = self._planner.plan(
             configuration.queues,
             now_s=now_s,
@@ -321,7 +321,7 @@
             self.run_ended(run, RunEnd.VANISHED, '')
 
     def _stop_surplus(self, job: Job) -> None:
-        for run in self.book.surplus_runs(job):
+        for run in self.job_table.surplus_runs(job):
             if run.phase is RunPhase.PLANNED:
                 self.run_ended(run, RunEnd.VANISHED, '')
             else:
@@ -338,7 +338,7 @@
             self._end_unreached()
             if not self.is_stopping and self.mandate.is_current():
                 self._mover.move_all(now_s=boot_s())
-            for job in tuple(self.book.jobs.values()):
+            for job in tuple(self.job_table.jobs.values()):
                 if job.occurrences:
                     self._stop_surplus(job)
             self.board.drop_gone()
@@ -346,7 +346,7 @@
                 self.parts.store,
                 self.mandate.cell,
                 self.mandate.guard,
-                self.book,
+                self.job_table,
                 self._inbox,
                 kept_ms=self.parts.bounds.status_ms,
             )
@@ -357,7 +357,7 @@
         longest_s *= _SLOW_CLOCK_FACTOR
         if boot_s() < self.taken_s + longest_s + FORMER_OWNER_SLACK_S:
             return
-        for run in tuple(self.book.live_runs()):
+        for run in tuple(self.job_table.live_runs()):
             is_unread = self.board.is_unread(run.worker_id)
             if is_unread and run.phase is not RunPhase.PLANNED:
                 self.run_ended(run, RunEnd.VANISHED, '')
--- a/src/marjoramwharf/cells/decision_log.py
+++ b/src/marjoramwharf/cells/decision_log.py
@@ -18,7 +18,7 @@
         'job finished',
         job=job.job_id,
         phase=job.phase.name.lower(),
-        known_s=round(now_s - job.learned_s, 3),
+        known_s=round(now_s - job.known_since_s, 3),
     )
 
 
--- a/src/marjoramwharf/cells/forgetting.py
+++ b/src/marjoramwharf/cells/forgetting.py
@@ -15,7 +15,7 @@
 from marjoramwharf.errors import Failure
 from marjoramwharf.links.store import Committed, Guard, PollingStore, Write
 from marjoramwharf.logs import part_logger
-from marjoramwharf.scheduling.job_book import JobBook
+from marjoramwharf.scheduling.job_table import JobTable
 from marjoramwharf.scheduling.job_state import Job
 
 _LOG = part_logger('cell')
@@ -32,20 +32,20 @@
     store: PollingStore,
     cell: CellId,
     owner: Guard,
-    book: JobBook,
+    job_table: JobTable,
     inbox: Inbox,
     *,
     kept_ms: int,
 ) -> None:
     """Remove the jobs that have been finished for ``kept_ms``."""
     kept_s = kept_ms / _MS_PER_S + _SLACK_S
-    old = [job for job in book.jobs.values() if _is_old(job, kept_s)]
+    old = [job for job in job_table.jobs.values() if _is_old(job, kept_s)]
     for start in range(0, len(old), _JOBS_PER_COMMIT):
         group = old[start : start + _JOBS_PER_COMMIT]
         if not await _remove(store, cell, owner, group):
             return
         for job in group:
-            book.forget(job.job_id)
+            job_table.forget(job.job_id)
             inbox.forget(job.job_id)
 
 
--- a/src/marjoramwharf/cells/inbox.py
+++ b/src/marjoramwharf/cells/inbox.py
@@ -19,7 +19,7 @@
 from marjoramwharf.ids import JobId
 from marjoramwharf.links.store import PollingStore, StoredValue, WatchBatch
 from marjoramwharf.logs import part_logger
-from marjoramwharf.scheduling.job_book import JobBook
+from marjoramwharf.scheduling.job_table import JobTable
 from marjoramwharf.scheduling.job_state import Job
 from marjoramwharf.scheduling.workload import JobRequest
 
@@ -37,7 +37,7 @@
     """
 
     cell: CellId
-    book: JobBook
+    job_table: JobTable
     on_cancelled: Callable[[Job], None]
     on_change: Callable[[], None]
     _cancelled: set[JobId] = field(default_factory=set)
@@ -58,8 +58,8 @@
                     revision=revision,
                     now_s=now_s,
                 )
-                self.book.adopt(job, now_s=now_s, now_ms=now_ms)
-        self.book.advance(now_s=now_s, now_ms=now_ms)
+                self.job_table.add_restored(job, now_s=now_s, now_ms=now_ms)
+        self.job_table.open_due_occurrences(now_s=now_s, now_ms=now_ms)
         for stored in found:
             self._take_cancel(stored.key)
 
@@ -72,7 +72,7 @@
                 continue
             request = self._request_of(event.stored)
             if request is not None:
-                self.book.add(request, now_s=now_s, now_ms=now_ms)
+                self.job_table.add(request, now_s=now_s, now_ms=now_ms)
                 if request.job_id in self._cancelled:
                     self._cancel(request.job_id)
             self._take_cancel(event.key)
@@ -105,9 +105,9 @@
             self._cancel(job_id)
 
     def _cancel(self, job_id: JobId) -> None:
-        known = self.book.jobs.get(job_id)
+        known = self.job_table.jobs.get(job_id)
         if known is None or not known.is_open:
             return
         _LOG.info('job cancelled', job=job_id)
-        self.book.cancel(job_id, now_s=boot_s())
+        self.job_table.cancel(job_id, now_s=boot_s())
         self.on_cancelled(known)
--- a/src/marjoramwharf/cells/intake.py
+++ b/src/marjoramwharf/cells/intake.py
@@ -198,7 +198,7 @@
         """
         cell = self.local()
         if cell is not None and cell.is_loaded:
-            return cell.book.waiting_count(queue)
+            return cell.job_table.waiting_count(queue)
         return await self.owner.waiting_count(queue)
 
     def _note(
--- a/src/marjoramwharf/cells/model_keeper.py
+++ b/src/marjoramwharf/cells/model_keeper.py
@@ -58,7 +58,7 @@
         written: bytes | None = None
         while True:
             await trio.sleep(_WRITE_PAUSE_S)
-            weights = self.model.known_weights()[:_PAIRS_COUNT]
+            weights = self.model.learned_weights()[:_PAIRS_COUNT]
             body = encode(ModelRecord(weights))
             if body != written and weights and await self._write(body):
                 written = body
--- a/src/marjoramwharf/cells/owner_link.py
+++ b/src/marjoramwharf/cells/owner_link.py
@@ -139,7 +139,7 @@
         return ttypes.JobReply(status=status, body=b'')
     argument = call.body.decode()
     if call.method == _WAITING:
-        count = cell.book.waiting_count(argument)
+        count = cell.job_table.waiting_count(argument)
         return ttypes.JobReply(status=_FOUND, body=str(count).encode())
     state = cell.status(JobId(argument))
     if state is None:
--- a/src/marjoramwharf/cells/progress_writer.py
+++ b/src/marjoramwharf/cells/progress_writer.py
@@ -36,7 +36,7 @@
     Write,
 )
 from marjoramwharf.logs import part_logger
-from marjoramwharf.scheduling.job_book import JobBook
+from marjoramwharf.scheduling.job_table import JobTable
 from marjoramwharf.scheduling.job_state import Job, JobPhase
 
 _LOG = part_logger('progress')
@@ -79,7 +79,7 @@
 
     store: PollingStore
     cell: CellId
-    book: JobBook
+    job_table: JobTable
     owner: Guard
     on_stored: OnStored
     counters: CellCounters = field(default_factory=CellCounters)
@@ -101,8 +101,8 @@
 
     async def flush(self) -> None:
         """Return when all changes up to now are stored."""
-        while self.book.unstored:
-            for job in self.book.unstored.values():
+        while self.job_table.unstored:
+            for job in self.job_table.unstored.values():
                 job.is_urgent = True
             self.wake()
             await trio.sleep(0.01)
@@ -130,7 +130,7 @@
         """Return what goes into the next call, urgent changes first."""
         waiting = [
             job
-            for job_id, job in self.book.unstored.items()
+            for job_id, job in self.job_table.unstored.items()
             if job_id not in self._in_flight
         ]
         now_s = trio.current_time()
@@ -199,10 +199,10 @@
         job = snapshot.job
         job.stored_revision = revision
         job.stored_version = max(job.stored_version, snapshot.version)
-        job.shown_phase = snapshot.phase
+        job.stored_phase = snapshot.phase
         self._unanswered.pop(job.job_id, None)
         if job.version == snapshot.version:
-            self.book.unstored.pop(job.job_id, None)
+            self.job_table.unstored.pop(job.job_id, None)
         self.on_stored(job)
 
     def _resolve(
--- a/src/marjoramwharf/cells/records.py
+++ b/src/marjoramwharf/cells/records.py
@@ -154,13 +154,13 @@
     now_s: float,
 ) -> Job:
     """Return a job as its record says; its runs are ``UNCERTAIN``."""
-    job = Job(request, learned_s=now_s, finished_s=now_s)
+    job = Job(request, known_since_s=now_s, finished_s=now_s)
     if progress is None:
         if not request.repeat_count:
             job.open_occurrence(0)
         return job
     job.phase = progress.phase
-    job.shown_phase = progress.phase
+    job.stored_phase = progress.phase
     job.has_begun = progress.has_begun
     job.stored_revision = revision
     for number in progress.open_occurrences:
@@ -209,7 +209,7 @@
             worker_id=WorkerId(stored.worker_id),
             born_ms=stored.born_ms,
             phase=RunPhase.UNCERTAIN,
-            placed_s=now_s,
-            moved_s=now_s,
+            planned_s=now_s,
+            progressed_s=now_s,
             saved=record.checkpoint,
         )
--- a/src/marjoramwharf/cells/run_mover.py
+++ b/src/marjoramwharf/cells/run_mover.py
@@ -12,7 +12,11 @@
 from marjoramwharf.scheduling.job_state import Run
 from marjoramwharf.scheduling.planner import Planner
 from marjoramwharf.scheduling.policy import QueuePolicy
-from marjoramwharf.scheduling.rescue import Rescue, Trouble, find_rescues
+from marjoramwharf.scheduling.run_moves import (
+    RunMove,
+    MoveReason,
+    find_run_moves,
+)
 
 _LOG = part_logger('cell')
 
@@ -36,16 +40,18 @@
     def move_all(self, *, now_s: float) -> None:
         """Move what should not stay where it is."""
         for worker in self.board.fleet.workers.values():
-            for rescue in tuple(find_rescues(worker, now_s=now_s)):
+            for rescue in tuple(find_run_moves(worker, now_s=now_s)):
                 self._move(rescue, worker, now_s)
 
-    def _move(self, rescue: Rescue, worker: Worker, now_s: float) -> None:
+    def _move(self, rescue: RunMove, worker: Worker, now_s: float) -> None:
         run = rescue.run
         service = self.queue_of(run).service
-        if rescue.trouble is not Trouble.LEAVING:
+        if rescue.trouble is not MoveReason.LEAVING:
             worker.suspect_until_s = now_s + _SUSPECT_S
             run.task.failed_workers.add(worker.worker_id)
-        if not self.planner.has_place(run.task, service, now_s=now_s):
+        if not self.planner.has_alternative_worker(
+            run.task, service, now_s=now_s
+        ):
             return
         may_double = run.step.may_duplicate and not run.step.is_lasting
         if may_double and len(run.task.runs) > 1:
@@ -61,7 +67,7 @@
         )
         self.counters.moved_runs_count += 1
         if may_double:
-            self.planner.duplicate(run.task, service, now_s=now_s)
+            self.planner.plan_duplicate(run.task, service, now_s=now_s)
             self.on_planned()
         else:
             self.board.stop(run)
--- a/src/marjoramwharf/cells/worker_board.py
+++ b/src/marjoramwharf/cells/worker_board.py
@@ -21,10 +21,10 @@
     WorkerState,
 )
 from marjoramwharf.scheduling.interference import InterferenceModel
-from marjoramwharf.scheduling.job_book import JobBook
+from marjoramwharf.scheduling.job_table import JobTable
 from marjoramwharf.scheduling.job_state import Run, RunEnd
-from marjoramwharf.scheduling.pacing import PaceKeeper
-from marjoramwharf.scheduling.readings import ReadingLearner
+from marjoramwharf.scheduling.pacing import PaceController
+from marjoramwharf.scheduling.readings import InterferenceLearner
 
 _LOG = part_logger('worker')
 
@@ -45,7 +45,7 @@
 
     prefix: str
     decode: ListingDecoder
-    book: JobBook
+    job_table: JobTable
     model: InterferenceModel
     owner: LinkOwner
     terms: LinkTerms
@@ -54,8 +54,8 @@
     on_change: Callable[[], None]
     fleet: Fleet = field(default_factory=Fleet)
     links: dict[WorkerId, WorkerLink] = field(default_factory=dict)
-    _keepers: dict[WorkerId, PaceKeeper] = field(default_factory=dict)
-    _learners: dict[WorkerId, ReadingLearner] = field(default_factory=dict)
+    _keepers: dict[WorkerId, PaceController] = field(default_factory=dict)
+    _learners: dict[WorkerId, InterferenceLearner] = field(default_factory=dict)
     _nursery: trio.Nursery | None = None
 
     def attach(self, nursery: trio.Nursery) -> None:
@@ -104,9 +104,9 @@
         if worker is None:
             return
         worker.remove(run)
-        self._learners[worker.worker_id].note_end(run, now_s=now_s)
+        self._learners[worker.worker_id].record_end(run, now_s=now_s)
         if how in {RunEnd.DONE, RunEnd.FAILED}:
-            worker.note_outcome(
+            worker.record_outcome(
                 has_failed=how is RunEnd.FAILED,
                 now_s=now_s,
             )
@@ -128,9 +128,9 @@
                 percent=percent,
             )
             run.pace_percent = percent
-            run.paced_until_s = now_s
+            run.pace_changed_s = now_s
             self._nursery.start_soon(link.orders.pace, run, percent)
-        link.is_urgent = keeper.needs_look()
+        link.is_urgent = keeper.needs_early_poll()
 
     def is_unread(self, worker_id: WorkerId) -> bool:
         """Whether a worker was never reached by this owner."""
@@ -177,17 +177,17 @@
     def _add(self, worker: Worker) -> None:
         worker_id = worker.worker_id
         self.fleet.workers[worker_id] = worker
-        for run in self.book.live_runs():
+        for run in self.job_table.live_runs():
             if run.worker_id == worker_id:
                 worker.add(run)
         link = WorkerLink(worker=worker, owner=self.owner, terms=self.terms)
         self.links[worker_id] = link
-        self._keepers[worker_id] = PaceKeeper(
+        self._keepers[worker_id] = PaceController(
             worker,
             self.model,
             self.harm_s,
         )
-        self._learners[worker_id] = ReadingLearner(worker, self.model)
+        self._learners[worker_id] = InterferenceLearner(worker, self.model)
         if self._nursery is not None:
             self._nursery.start_soon(link.run)
 
--- a/src/marjoramwharf/cells/worker_link.py
+++ b/src/marjoramwharf/cells/worker_link.py
@@ -183,7 +183,7 @@
         if not self.worker.is_reachable:
             _LOG.info('worker reached', worker=self.worker.worker_id)
         self.worker.is_reachable = True
-        self.worker.looked_s = now_s
+        self.worker.polled_s = now_s
         for ended in report.ended:
             self._take_end(ended)
         self.note_stored()
@@ -229,7 +229,7 @@
         """
         if run.phase is RunPhase.PLANNED:
             return
-        if run.is_doubtful and now_s - run.placed_s < _LATE_ORDER_S:
+        if run.is_start_unconfirmed and now_s - run.planned_s < _LATE_ORDER_S:
             run.phase = RunPhase.ORDERED
             run.stop_answered_s = None
             nursery.start_soon(self.orders.stop, run)
@@ -259,14 +259,14 @@
             return
         if run.phase in {RunPhase.ORDERED, RunPhase.UNCERTAIN}:
             self.owner.run_started(run)
-        run.read_s = now_s
-        if not run.is_seen:
-            run.is_seen = True
+        run.progress_read_s = now_s
+        if not run.is_listed:
+            run.is_listed = True
             run.resumed_percent = row.percent
-            run.moved_s = now_s
+            run.progressed_s = now_s
         if row.percent != run.percent:
             run.percent = row.percent
-            run.moved_s = now_s
+            run.progressed_s = now_s
         run.reading = row.reading
         run.saved = row.saved or run.saved
 
--- a/src/marjoramwharf/cells/worker_orders.py
+++ b/src/marjoramwharf/cells/worker_orders.py
@@ -19,7 +19,7 @@
 )
 from marjoramwharf.logs import part_logger
 from marjoramwharf.scheduling.fleet import Worker
-from marjoramwharf.scheduling.job_book import job_of
+from marjoramwharf.scheduling.job_table import job_of
 from marjoramwharf.scheduling.job_state import Run, RunEnd, RunPhase
 
 _LOG = part_logger('worker')
@@ -75,7 +75,7 @@
                 return
             if answer.outcome is not OrderOutcome.UNKNOWN:
                 break
-            run.is_doubtful = True
+            run.is_start_unconfirmed = True
         self.terms.counters.starts[answer.outcome] += 1
         if answer.outcome in _HAS_BEGUN:
             self.owner.run_started(run)
@@ -155,7 +155,7 @@
             self.worker.not_before_s = now_s + _FULL_PAUSE_S
         else:
             self.worker.not_before_s = now_s + _UNHEALTHY_PAUSE_S
-        if run.is_doubtful:
+        if run.is_start_unconfirmed:
             await self.stop(run)
         else:
             self.owner.run_ended(run, RunEnd.VANISHED, '')
--- a/src/marjoramwharf/platform/job_bodies.py
+++ b/src/marjoramwharf/platform/job_bodies.py
@@ -124,5 +124,5 @@
         image=step.image or '',
         target_tail_ms=round(step.target_ms),
         fills=step.fills,
-        may_miss_count=step.may_miss,
+        max_unavailable_count=step.may_miss,
     )
--- a/src/marjoramwharf/platform/operator_config.py
+++ b/src/marjoramwharf/platform/operator_config.py
@@ -75,7 +75,7 @@
         services={
             service.name: ServicePolicy(
                 name=service.name,
-                guards_capacity=service.rejects_overload,
+                enforces_capacity=service.rejects_overload,
                 is_spare=service.spare,
                 health_path=service.health_path,
             )
--- a/src/marjoramwharf/platform/worker_entries.py
+++ b/src/marjoramwharf/platform/worker_entries.py
@@ -13,7 +13,7 @@
 from marjoramwharf.errors import BadListing
 from marjoramwharf.ids import DataCentreId, WorkerId
 from marjoramwharf.json_bodies import decode_json
-from marjoramwharf.scheduling.fleet import Room, WorkerListing, WorkerState
+from marjoramwharf.scheduling.fleet import Resources, WorkerListing, WorkerState
 
 WORKERS_PREFIX = 'servers/'
 
@@ -77,7 +77,7 @@
         port=port,
         data_centre=DataCentreId(entry.zone),
         state=_STATES[entry.state],
-        capacity=Room(
+        capacity=Resources(
             cpu_millicores=entry.capacity.cpu,
             memory_mb=entry.capacity.mem_mb,
             accelerators_count=entry.capacity.gpu,
--- a/src/marjoramwharf/programs/_cell_metrics.py
+++ b/src/marjoramwharf/programs/_cell_metrics.py
@@ -78,8 +78,8 @@
         workers = cell.board.fleet.workers.values()
         return {
             'owns_cell': {'': 1},
-            'ready_tasks': {'': len(cell.book.ready)},
-            'unstored_jobs': {'': len(cell.book.unstored)},
+            'ready_tasks': {'': len(cell.job_table.ready)},
+            'unstored_jobs': {'': len(cell.job_table.unstored)},
             'workers': {
                 'reachable': sum(worker.is_reachable for worker in workers),
                 'unreachable': sum(
--- a/src/marjoramwharf/scheduling/own_load.py
+++ b/src/marjoramwharf/scheduling/baseline_headroom.py
@@ -4,7 +4,7 @@
 All tasks of a job share its load, so each reading of any of them counts. What
 fills is best placed where the load is about to fall.
 
-    >>> load = OwnLoad()
+    >>> load = BaselineHeadroom()
     >>> for second in range(10):
     ...     load.observe(3 - second / 10, at_s=second, variance=0.01)
     >>> round(load.forecast(at_s=10), 1)
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class OwnLoad:
+class BaselineHeadroom:
     """Exponentially weighted linear regression over the readings of a job.
 
     The sums are those of weight, weight x time and so on, with times relative
--- a/src/marjoramwharf/scheduling/fleet.py
+++ b/src/marjoramwharf/scheduling/fleet.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class Resources:
     """Processors in thousandths, memory in MB, and accelerators."""
 
     cpu_millicores: int = 0
@@ -62,7 +62,7 @@
     port: int
     data_centre: DataCentreId
     state: WorkerState
-    capacity: Room
+    capacity: Resources
     labels: tuple[str, ...]
     born_ms: int = 0
     remaining_ms: int | None = None
@@ -82,7 +82,7 @@
     placed before ``not_before_s``. ``failure_weight`` and ``success_weight``
     are the decayed numbers of runs that failed and that were done there. A
     draining worker may be gone from ``leaves_s`` on. The latest look was at
-    ``looked_s``. While the worker ``is_paused``, what fills there is
+    ``polled_s``. While the worker ``is_filling_paused``, what fills there is
     held back and nothing that fills is added. ``headrooms`` and their key are
     kept by :mod:`scheduling.headroom`.
     """
@@ -94,15 +94,15 @@
     suspect_until_s: float = 0
     failure_weight: float = 0
     success_weight: float = 0
-    outcome_noted_s: float = 0
+    outcome_recorded_s: float = 0
     leaves_s: float = 0
-    looked_s: float = 0
-    cpu_used: int = 0
-    memory_used: int = 0
-    accelerators_used: int = 0
-    fill_cpu: int = 0
-    serving_cpu: int = 0
-    is_paused: bool = False
+    polled_s: float = 0
+    reserved_millicores: int = 0
+    reserved_memory_mb: int = 0
+    reserved_accelerators_count: int = 0
+    filling_millicores: int = 0
+    serving_millicores: int = 0
+    is_filling_paused: bool = False
     version: int = 0
     headrooms_key: tuple[int, int] = (-1, -1)
     headrooms: tuple[ExpectedHeadroom, ...] = ()
@@ -115,7 +115,7 @@
         return self.listing.worker_id
 
     @property
-    def capacity(self) -> Room:
+    def capacity(self) -> Resources:
         """The whole room of the worker."""
         return self.listing.capacity
 
@@ -131,25 +131,25 @@
             self.runs.discard(run)
             self._count(run, -1)
 
-    def count_of(self, step: Step) -> int:
+    def runs_count_of(self, step: Step) -> int:
         """Return how many runs of a step count against this worker."""
         return self.step_counts[id(step)]
 
-    def note_outcome(self, *, has_failed: bool, now_s: float) -> None:
+    def record_outcome(self, *, has_failed: bool, now_s: float) -> None:
         """Count a run that failed, or one that was done, on this worker."""
         decay = self._decay(now_s)
         failures = self.failure_weight * decay + has_failed
         self.failure_weight = min(failures, _LARGEST_FAILURE_WEIGHT)
         self.success_weight = self.success_weight * decay + (not has_failed)
-        self.outcome_noted_s = now_s
+        self.outcome_recorded_s = now_s
 
-    def failures_at(self, now_s: float) -> float:
+    def failure_weight_at(self, now_s: float) -> float:
         """Return the decayed number of failures."""
         return self.failure_weight * self._decay(now_s)
 
-    def fails_all(self, now_s: float) -> bool:
+    def is_quarantined(self, now_s: float) -> bool:
         """Whether nearly everything has failed here lately."""
-        failures = self.failures_at(now_s)
+        failures = self.failure_weight_at(now_s)
         successes = self.success_weight * self._decay(now_s)
         return (
             failures > _QUARANTINE_WEIGHT
@@ -162,26 +162,26 @@
             self.listing.state is WorkerState.READY
             and self.is_reachable
             and self.not_before_s <= now_s
-            and not self.fails_all(now_s)
+            and not self.is_quarantined(now_s)
         )
 
-    def holds(self, step: StepRequest) -> bool:
+    def has_resources_for(self, step: StepRequest) -> bool:
         """Whether a task of a step fits beside what is placed here."""
-        free_memory = self.capacity.memory_mb - self.memory_used
+        free_memory = self.capacity.memory_mb - self.reserved_memory_mb
         free_accelerators = (
-            self.capacity.accelerators_count - self.accelerators_used
+            self.capacity.accelerators_count - self.reserved_accelerators_count
         )
         if step.memory_mb > free_memory:
             return False
         if step.accelerators_count > free_accelerators:
             return False
         if step.fills:
-            return not self.is_paused
+            return not self.is_filling_paused
         return step.cpu_millicores <= (
-            self.capacity.cpu_millicores - self.cpu_used
+            self.capacity.cpu_millicores - self.reserved_millicores
         )
 
-    def could_hold(self, step: StepRequest) -> bool:
+    def could_ever_run(self, step: StepRequest) -> bool:
         """Whether an empty worker of this kind could run a task of a step."""
         room = self.capacity
         if step.required_label and step.required_label not in (
@@ -203,24 +203,24 @@
         return (run for run in self.runs if run.step.fills)
 
     def _decay(self, now_s: float) -> float:
-        passed_s = max(0, now_s - self.outcome_noted_s)
+        passed_s = max(0, now_s - self.outcome_recorded_s)
         return math.pow(_OUTCOME_DECAY_PER_S, passed_s)
 
-    def touch(self) -> None:
+    def mark_changed(self) -> None:
         """Note that readings or runs have changed."""
         self.version += 1
 
     def _count(self, run: Run, sign: int) -> None:
-        self.touch()
+        self.mark_changed()
         step = run.step
-        self.memory_used += sign * step.memory_mb
-        self.accelerators_used += sign * step.accelerators_count
+        self.reserved_memory_mb += sign * step.memory_mb
+        self.reserved_accelerators_count += sign * step.accelerators_count
         if step.fills:
-            self.fill_cpu += sign * step.cpu_millicores
+            self.filling_millicores += sign * step.cpu_millicores
         else:
-            self.cpu_used += sign * step.cpu_millicores
+            self.reserved_millicores += sign * step.cpu_millicores
         if step.target_tail_ms:
-            self.serving_cpu += sign * step.cpu_millicores
+            self.serving_millicores += sign * step.cpu_millicores
         self._count_step(run, sign)
 
     def _count_step(self, run: Run, sign: int) -> None:
@@ -236,7 +236,7 @@
 
     workers: dict[WorkerId, Worker] = field(default_factory=dict)
 
-    def of_service(self, service: str) -> list[Worker]:
+    def workers_of(self, service: str) -> list[Worker]:
         """Return the workers of a service, in no special order."""
         return [
             worker
--- a/src/marjoramwharf/scheduling/headroom.py
+++ b/src/marjoramwharf/scheduling/headroom.py
@@ -12,8 +12,8 @@
 from marjoramwharf.scheduling.fleet import Worker
 from marjoramwharf.scheduling.interference import (
     InterferenceModel,
-    Loss,
-    Pressure,
+    HeadroomLoss,
+    FillingLoad,
 )
 from marjoramwharf.scheduling.job_state import Run, Step
 from marjoramwharf.scheduling.workload import StepRequest
@@ -48,32 +48,32 @@
 class ExpectedHeadroom:
     """What is expected of the tasks of one serving step on a worker.
 
-    ``rest`` is the headroom without, and ``headroom`` that with the present
-    filling tasks, with which ``spoilt_count`` of the ``count`` tasks are
+    ``baseline`` is the headroom without, and ``headroom`` that with the present
+    filling tasks, with which ``over_target_count`` of the ``count`` tasks are
     expected to be over their target.
     """
 
     step: Step
     count: int
-    rest: float
+    baseline: float
     headroom: float
     variance: float
-    spoilt_count: float
+    over_target_count: float
 
 
-def pressure_of(run: Run, worker: Worker) -> Pressure:
+def filling_load_of(run: Run, worker: Worker) -> FillingLoad:
     """Return the share of a worker that a filling run takes at its pace."""
-    share = share_of(run, worker, run.pace_percent)
-    return Pressure(run.step.image, share)
+    share = cpu_share_of(run, worker, run.pace_percent)
+    return FillingLoad(run.step.image, share)
 
 
-def share_of(run: Run, worker: Worker, percent: int) -> float:
+def cpu_share_of(run: Run, worker: Worker, percent: int) -> float:
     """Return the share of a worker that a run takes at a pace."""
     whole = max(1, worker.capacity.cpu_millicores)
     return run.step.cpu_millicores / whole * percent / _FULL_PERCENT
 
 
-def chance_spoilt(headroom: float, variance: float) -> float:
+def over_target_probability(headroom: float, variance: float) -> float:
     """Return the chance that a task of this headroom is over its target."""
     scale = _LOGISTIC_SCALE * math.sqrt(_OWN_VARIANCE + variance)
     return 1 / (1 + math.exp(min(50, (headroom - 1) / scale)))
@@ -92,46 +92,48 @@
     key = (worker.version, int(now_s * _KEPT_PER_S))
     if worker.headrooms_key != key:
         for old in worker.headrooms:
-            old.step.spoilt_counts.pop(worker.worker_id, None)
+            old.step.over_target_counts.pop(worker.worker_id, None)
         worker.headrooms = _expected_headrooms(worker, model, now_s)
         worker.headrooms_key = key
         for new in worker.headrooms:
-            new.step.spoilt_counts[worker.worker_id] = new.spoilt_count
+            new.step.over_target_counts[worker.worker_id] = (
+                new.over_target_count
+            )
     return worker.headrooms
 
 
-def harm_of(
+def expected_harm(
     request: StepRequest,
     worker: Worker,
     model: InterferenceModel,
     *,
     now_s: float,
-    usual_cpu: float,
+    job_millicores: float,
 ) -> float:
     """Return how many serving jobs a filling task is expected to spoil.
 
     A job is worth nothing once a fraction of its tasks are over their target,
     so what disturbs costs least where jobs are spoilt already. That only holds
-    until the present filling tasks end, so it counts for a part. ``usual_cpu``
+    until the present filling tasks end, so it counts for a part. ``job_millicores``
     is the size of a usual serving job in millicores.
     """
     share = request.cpu_millicores / max(1, worker.capacity.cpu_millicores)
-    pressure = Pressure(request.image, share)
+    pressure = FillingLoad(request.image, share)
     harm: float = 0
     for known in expected_headrooms(worker, model, now_s=now_s):
-        loss = model.loss(known.step.request.image, (pressure,))
+        loss = model.expected_loss(known.step.request.image, (pressure,))
         if loss.headroom > _LEAST_LOSS:
             beside = _worth_lost(
                 known.step,
                 _more_spoilt(known, loss, known.headroom, known.variance),
-                sum(known.step.spoilt_counts.values()),
-                usual_cpu,
+                sum(known.step.over_target_counts.values()),
+                job_millicores,
             )
             alone = _worth_lost(
                 known.step,
-                _more_spoilt(known, loss, known.rest, 0),
+                _more_spoilt(known, loss, known.baseline, 0),
                 0,
-                usual_cpu,
+                job_millicores,
             )
             harm += _BESIDE_SHARE * beside + (1 - _BESIDE_SHARE) * alone
     return harm
@@ -139,13 +141,15 @@
 
 def _more_spoilt(
     known: ExpectedHeadroom,
-    loss: Loss,
+    loss: HeadroomLoss,
     headroom: float,
     variance: float,
 ) -> float:
     """Return how many more tasks a loss of headroom is expected to spoil."""
-    before = chance_spoilt(headroom, variance)
-    after = chance_spoilt(headroom - loss.headroom, variance + loss.variance)
+    before = over_target_probability(headroom, variance)
+    after = over_target_probability(
+        headroom - loss.headroom, variance + loss.variance
+    )
     return known.count * max(0, after - before)
 
 
@@ -153,7 +157,7 @@
     step: Step,
     more: float,
     before: float,
-    usual_cpu: float,
+    job_millicores: float,
 ) -> float:
     """Return the part of a usual job that more spoilt tasks cost.
 
@@ -162,7 +166,7 @@
     """
     per_task = _HARM_WEIGHT / step.request.count
     lost = min(1, (before + more) * per_task) - min(1, before * per_task)
-    size = step.request.count * step.request.cpu_millicores / usual_cpu
+    size = step.request.count * step.request.cpu_millicores / job_millicores
     return lost * size * max(1, size)
 
 
@@ -171,28 +175,30 @@
     model: InterferenceModel,
     now_s: float,
 ) -> tuple[ExpectedHeadroom, ...]:
-    pressures = [pressure_of(run, worker) for run in worker.filling_runs()]
+    pressures = [filling_load_of(run, worker) for run in worker.filling_runs()]
     counts: dict[Step, int] = {}
     for run in worker.serving_runs():
         step = run.task.step
         counts[step] = counts.get(step, 0) + 1
     found: list[ExpectedHeadroom] = []
     for step, count in counts.items():
-        loss = model.loss(step.request.image, pressures)
-        rest = min(
-            step.own_load.forecast(at_s=now_s + _SOON_S),
-            step.own_load.forecast(at_s=now_s + _LATER_S),
+        loss = model.expected_loss(step.request.image, pressures)
+        baseline = min(
+            step.baseline_headroom.forecast(at_s=now_s + _SOON_S),
+            step.baseline_headroom.forecast(at_s=now_s + _LATER_S),
+        )
+        headroom = baseline - loss.headroom
+        over_target_count = count * over_target_probability(
+            headroom, loss.variance
         )
-        headroom = rest - loss.headroom
-        spoilt_count = count * chance_spoilt(headroom, loss.variance)
         found.append(
             ExpectedHeadroom(
                 step,
                 count,
-                rest,
+                baseline,
                 headroom,
                 loss.variance,
-                spoilt_count,
+                over_target_count,
             ),
         )
     return tuple(found)
--- a/src/marjoramwharf/scheduling/interference.py
+++ b/src/marjoramwharf/scheduling/interference.py
@@ -12,7 +12,8 @@
 filter that treats them as independent.
 
     >>> model = InterferenceModel()
-    >>> model.observe('serve', [Pressure('fill', 0.1)], lost=1, variance=0.1)
+    >>> load = FillingLoad('fill', 0.1)
+    >>> model.observe('serve', [load], lost_headroom=1, variance=0.1)
     >>> 6 < model.weight('fill', 'serve') < 10
     True
 """
@@ -42,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pressure:
+class FillingLoad:
     """A filling task's image and its share of the worker's processors."""
 
     image: str
@@ -65,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loss:
+class HeadroomLoss:
     """Headroom that a serving task is expected to lose, and its variance."""
 
     headroom: float
@@ -78,7 +79,7 @@
 
     _weights: dict[str, dict[str, _Weight]] = field(default_factory=dict)
 
-    def known_weights(self) -> tuple[KnownWeight, ...]:
+    def learned_weights(self) -> tuple[KnownWeight, ...]:
         """Return what was learned, for a later owner."""
         return tuple(
             KnownWeight(serving, filling, weight.mean, weight.variance)
@@ -98,7 +99,9 @@
         known = self._weights.get(serving, {}).get(filling)
         return _PRIOR_WEIGHT if known is None else known.mean
 
-    def loss(self, serving: str, pressures: Iterable[Pressure]) -> Loss:
+    def expected_loss(
+        self, serving: str, pressures: Iterable[FillingLoad]
+    ) -> HeadroomLoss:
         """Return the headroom that a serving task loses beside others."""
         known = self._weights.get(serving, {})
         headroom: float = 0
@@ -109,14 +112,14 @@
             spread = _PRIOR_VARIANCE if found is None else found.variance
             headroom += mean * pressure.share
             variance += spread * pressure.share * pressure.share
-        return Loss(headroom, variance)
+        return HeadroomLoss(headroom, variance)
 
     def observe(
         self,
         serving: str,
-        pressures: Sequence[Pressure],
+        pressures: Sequence[FillingLoad],
         *,
-        lost: float,
+        lost_headroom: float,
         variance: float,
     ) -> None:
         """Take in the headroom that these pressures have taken together.
@@ -136,7 +139,9 @@
             total += weight.variance * shares[image] ** 2
         for image, weight in found.items():
             gain = weight.variance * shares[image] / total
-            weight.mean = max(0, weight.mean + gain * (lost - expected))
+            weight.mean = max(
+                0, weight.mean + gain * (lost_headroom - expected)
+            )
             weight.variance *= 1 - gain * shares[image]
 
 
--- a/src/marjoramwharf/scheduling/job_state.py
+++ b/src/marjoramwharf/scheduling/job_state.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field
 
 from marjoramwharf.ids import JobId, TaskId, WorkerId
-from marjoramwharf.scheduling.own_load import OwnLoad
+from marjoramwharf.scheduling.baseline_headroom import BaselineHeadroom
 from marjoramwharf.scheduling.workload import (
     JobRequest,
     StepRequest,
-    chain_lengths_ms,
+    critical_paths_ms,
     task_name,
 )
 
@@ -70,13 +70,13 @@
     """One start of a task at a worker.
 
     ``percent`` is the progress that the worker reports, ``resumed_percent``
-    the first one, and ``moved_s`` the last time at which it changed; it was
-    read at ``read_s``. ``pace_percent`` is the share of its speed at which it
-    may work, and ``paced_until_s`` the last time at which that was changed.
+    the first one, and ``progressed_s`` the last time at which it changed; it was
+    read at ``progress_read_s``. ``pace_percent`` is the share of its speed at which it
+    may work, and ``pace_changed_s`` the last time at which that was changed.
     ``reading`` is the tail latency in ms of a task that serves, and the
     processors in use (millicores) of any other. The run may be ordered once
-    ``planned_version`` of its job is stored. It ``is_seen`` once its worker
-    has listed it, and ``is_doubtful`` when an order to start it got no answer.
+    ``planned_version`` of its job is stored. It ``is_listed`` once its worker
+    has listed it, and ``is_start_unconfirmed`` when an order to start it got no answer.
     """
 
     task: Task
@@ -84,20 +84,20 @@
     worker_id: WorkerId
     born_ms: int
     phase: RunPhase
-    placed_s: float
+    planned_s: float
     started_s: float | None = None
     percent: int = 0
     resumed_percent: int = 0
-    moved_s: float = 0
-    read_s: float = 0
-    paced_until_s: float = 0
+    progressed_s: float = 0
+    progress_read_s: float = 0
+    pace_changed_s: float = 0
     reading: int = 0
     saved: str = ''
     pace_percent: int = 100
     planned_version: int = 0
     stop_answered_s: float | None = None
-    is_seen: bool = False
-    is_doubtful: bool = False
+    is_listed: bool = False
+    is_start_unconfirmed: bool = False
     ticket: str = ''
 
     @property
@@ -133,20 +133,22 @@
 class Step:
     """The tasks of one step in one occurrence.
 
-    ``chain_ms`` is the estimated time from the start of the step to the end
-    of the longest chain of steps that it begins. ``ended_paces`` are the
-    percentages per second of the runs that ended done. ``own_load`` forecasts
-    the tails of a serving step, of whose tasks ``spoilt_counts`` tells by
+    ``critical_path_ms`` is the estimated time from the start of the step to the end
+    of the longest chain of steps that it begins. ``ended_progress_rates`` are the
+    percentages per second of the runs that ended done. ``baseline_headroom`` forecasts
+    the tails of a serving step, of whose tasks ``over_target_counts`` tells by
     worker how many are expected to be over their target.
     """
 
     occurrence: Occurrence
     number: int
     request: StepRequest
-    chain_ms: int = 0
-    ended_paces: list[float] = field(default_factory=list)
-    own_load: OwnLoad = field(default_factory=OwnLoad)
-    spoilt_counts: dict[WorkerId, float] = field(default_factory=dict)
+    critical_path_ms: int = 0
+    ended_progress_rates: list[float] = field(default_factory=list)
+    baseline_headroom: BaselineHeadroom = field(
+        default_factory=BaselineHeadroom
+    )
+    over_target_counts: dict[WorkerId, float] = field(default_factory=dict)
     tasks: list[Task] = field(default_factory=list)
     done_count: int = 0
 
@@ -189,14 +191,14 @@
     """A job that this cell owns.
 
     ``version`` grows with each change that has to be stored, and
-    ``stored_version`` is the latest one that is. ``shown_phase`` is the state
+    ``stored_version`` is the latest one that is. ``stored_phase`` is the state
     of the job in the store, which is what callers are told. A change
     ``is_urgent`` if something waits until it is stored.
     """
 
     request: JobRequest
     phase: JobPhase = JobPhase.OPEN
-    shown_phase: JobPhase = JobPhase.OPEN
+    stored_phase: JobPhase = JobPhase.OPEN
     occurrences: dict[int, Occurrence] = field(default_factory=dict)
     next_occurrence: int = 0
     version: int = 0
@@ -205,7 +207,7 @@
     is_urgent: bool = False
     has_begun: bool = False
     finished_s: float = 0
-    learned_s: float = 0
+    known_since_s: float = 0
 
     @property
     def job_id(self) -> JobId:
@@ -217,7 +219,7 @@
         """Whether tasks of the job may still start."""
         return self.phase is JobPhase.OPEN
 
-    def touch(self, *, is_urgent: bool) -> None:
+    def mark_changed(self, *, is_urgent: bool) -> None:
         """Note a change that has to be stored."""
         self.version += 1
         self.is_urgent = self.is_urgent or is_urgent
@@ -225,7 +227,7 @@
     def open_occurrence(self, number: int) -> Occurrence:
         """Create the steps and tasks of one occurrence."""
         occurrence = Occurrence(self, number, self.request.due_ms(number))
-        chains_ms = chain_lengths_ms(self.request.steps)
+        chains_ms = critical_paths_ms(self.request.steps)
         for step_number, request in enumerate(self.request.steps):
             step = Step(
                 occurrence,
--- a/src/marjoramwharf/scheduling/job_book.py
+++ b/src/marjoramwharf/scheduling/job_table.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class JobBook:
+class JobTable:
     """Jobs by id, with the tasks that may start now.
 
     ``ready`` keeps the order in which tasks became ready. A plan and the end
@@ -48,16 +48,16 @@
         known = self.jobs.get(request.job_id)
         if known is not None:
             return known
-        job = Job(request, learned_s=now_s)
+        job = Job(request, known_since_s=now_s)
         self.jobs[job.job_id] = job
         if request.repeat_count:
             self._repeating[job.job_id] = job
         else:
             self._open(job, 0, now_s, now_ms)
-        self.advance(now_s=now_s, now_ms=now_ms)
+        self.open_due_occurrences(now_s=now_s, now_ms=now_ms)
         return job
 
-    def adopt(self, job: Job, *, now_s: float, now_ms: int) -> None:
+    def add_restored(self, job: Job, *, now_s: float, now_ms: int) -> None:
         """Take in a job whose state was read from the store."""
         self.jobs[job.job_id] = job
         if not job.is_open:
@@ -68,7 +68,7 @@
             occurrence.is_due = now_ms + _EARLY_START_MS >= occurrence.due_ms
             self._refresh(occurrence, now_s)
 
-    def advance(self, *, now_s: float, now_ms: int) -> None:
+    def open_due_occurrences(self, *, now_s: float, now_ms: int) -> None:
         """Open the occurrences whose time has come."""
         for job in tuple(self._repeating.values()):
             self._open_due(job, now_s, now_ms)
@@ -83,7 +83,7 @@
             default=None,
         )
 
-    def place(
+    def plan_run(
         self,
         task: Task,
         *,
@@ -99,8 +99,8 @@
             worker_id=worker_id,
             born_ms=born_ms,
             phase=RunPhase.PLANNED,
-            placed_s=now_s,
-            moved_s=now_s,
+            planned_s=now_s,
+            progressed_s=now_s,
             saved=task.checkpoint,
         )
         task.runs[number] = run
@@ -111,20 +111,20 @@
         run.planned_version = job.version
         return run
 
-    def started(self, run: Run, *, now_s: float) -> None:
+    def mark_started(self, run: Run, *, now_s: float) -> None:
         """Note that a worker has begun a run."""
         if run.phase in {RunPhase.ORDERED, RunPhase.UNCERTAIN}:
             run.phase = RunPhase.RUNNING
         if run.started_s is None:
             run.started_s = now_s
-            run.moved_s = now_s
+            run.progressed_s = now_s
         run.task.has_begun = True
         job = job_of(run.task)
         if not job.has_begun:
             job.has_begun = True
             self._changed(job)
 
-    def end(
+    def end_run(
         self,
         run: Run,
         how: RunEnd,
@@ -287,7 +287,7 @@
                 self.ready[task.name] = task
 
     def _changed(self, job: Job, *, is_urgent: bool = False) -> None:
-        job.touch(is_urgent=is_urgent)
+        job.mark_changed(is_urgent=is_urgent)
         self.unstored[job.job_id] = job
 
 
@@ -295,7 +295,7 @@
     if run.started_s is not None:
         elapsed_s = max(now_s - run.started_s, _LEAST_RUN_S)
         done = _FULL_PERCENT - run.resumed_percent
-        run.task.step.ended_paces.append(done / elapsed_s)
+        run.task.step.ended_progress_rates.append(done / elapsed_s)
 
 
 def job_of(task: Task) -> Job:
--- a/src/marjoramwharf/scheduling/ordering.py
+++ b/src/marjoramwharf/scheduling/ordering.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from marjoramwharf.scheduling.job_book import job_of
+from marjoramwharf.scheduling.job_table import job_of
 from marjoramwharf.scheduling.job_state import Step, Task
 from marjoramwharf.scheduling.policy import QueuePolicy
 
@@ -54,8 +54,10 @@
 
 def objective_ms(step: Step, queue: QueuePolicy) -> float:
     """Return the time that a job may take, from its acceptance."""
-    chain_ms = max(other.chain_ms for other in step.occurrence.steps)
-    return queue.stretch * chain_ms + queue.target_latency_ms
+    critical_path_ms = max(
+        other.critical_path_ms for other in step.occurrence.steps
+    )
+    return queue.stretch * critical_path_ms + queue.target_latency_ms
 
 
 def step_rank(step: Step, queue: QueuePolicy, *, now_ms: int) -> Rank:
@@ -70,11 +72,11 @@
         return Rank(Tier.ON_TIME, 0, queue.priority, since_ms)
     allowed_ms = objective_ms(step, queue)
     passed_ms = now_ms - since_ms
-    slack_ms = allowed_ms - passed_ms - step.chain_ms
+    slack_ms = allowed_ms - passed_ms - step.critical_path_ms
     tier = Tier.ON_TIME
     if passed_ms > _USEFUL_OBJECTIVES * allowed_ms:
         tier = Tier.USELESS
-    elif slack_ms < -_ESTIMATE_SLACK_SHARE * step.chain_ms:
+    elif slack_ms < -_ESTIMATE_SLACK_SHARE * step.critical_path_ms:
         tier = Tier.LATE
     return Rank(tier, slack_ms, queue.priority, since_ms)
 
--- a/src/marjoramwharf/scheduling/pacing.py
+++ b/src/marjoramwharf/scheduling/pacing.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass, field
 
 from marjoramwharf.scheduling.fleet import Worker
-from marjoramwharf.scheduling.headroom import share_of
-from marjoramwharf.scheduling.interference import InterferenceModel, Pressure
+from marjoramwharf.scheduling.headroom import cpu_share_of
+from marjoramwharf.scheduling.interference import InterferenceModel, FillingLoad
 from marjoramwharf.scheduling.job_state import Run, Step
-from marjoramwharf.scheduling.readings import at_work, headroom_of
+from marjoramwharf.scheduling.readings import running_runs, measured_headroom
 
 FULL_PERCENT = 100
 
@@ -44,31 +44,33 @@
 
 
 @dataclass(slots=True)
-class PaceKeeper:
+class PaceController:
     """State of the pacing on one worker.
 
-    No tail may be over its target for ``harm_s`` on end by what fills.
+    No tail may be over its target for ``max_over_target_s`` on end by what fills.
     """
 
     worker: Worker
     model: InterferenceModel
-    harm_s: float
+    max_over_target_s: float
     _over_since_s: dict[Run, float] = field(default_factory=dict)
     _looked_s: float = 0
 
     def decide(self, *, now_s: float) -> Mapping[Run, int]:
         """Return the runs whose pace changes, with the new percentage."""
-        filling = at_work(self.worker.filling_runs())
+        filling = running_runs(self.worker.filling_runs())
         longest_s = self._longest_over_s(now_s)
-        self.worker.is_paused = longest_s >= self.harm_s - _PAUSE_MARGIN_S
+        self.worker.is_filling_paused = (
+            longest_s >= self.max_over_target_s - _PAUSE_MARGIN_S
+        )
         paces = dict.fromkeys(filling, FULL_PERCENT)
-        if longest_s >= self.harm_s - _PAUSE_ALL_MARGIN_S:
+        if longest_s >= self.max_over_target_s - _PAUSE_ALL_MARGIN_S:
             paces = dict.fromkeys(filling, 0)
-        elif self.worker.is_paused:
+        elif self.worker.is_filling_paused:
             paces = self._paces(filling, now_s)
         return _changes(paces, now_s)
 
-    def needs_look(self) -> bool:
+    def needs_early_poll(self) -> bool:
         """Whether the next look is due soon, to end a pause or begin one."""
         return bool(self._over_since_s) or any(
             run.pace_percent < FULL_PERCENT
@@ -80,8 +82,8 @@
         # A tail may have risen right after the last look that found it low.
         self._over_since_s = {
             run: self._over_since_s.get(run, self._looked_s)
-            for run in at_work(self.worker.serving_runs())
-            if run.reading and headroom_of(run) < 1
+            for run in running_runs(self.worker.serving_runs())
+            if run.reading and measured_headroom(run) < 1
         }
         self._looked_s = now_s
         return now_s - min(self._over_since_s.values(), default=now_s)
@@ -95,7 +97,7 @@
         paces = dict.fromkeys(filling, FULL_PERCENT)
         lacking = self._lacking(filling, now_s)
         for run in sorted(filling, key=self._blame_by(lacking), reverse=True):
-            share = share_of(run, self.worker, FULL_PERCENT)
+            share = cpu_share_of(run, self.worker, FULL_PERCENT)
             image = run.step.image
             weights = {
                 step: self.model.weight(image, step.request.image) * share
@@ -125,23 +127,25 @@
         What is read counts as well as what is expected.
         """
         pressures = [
-            Pressure(
+            FillingLoad(
                 run.step.image,
-                share_of(run, self.worker, FULL_PERCENT),
+                cpu_share_of(run, self.worker, FULL_PERCENT),
             )
             for run in filling
         ]
         lacking: dict[Step, float] = {}
-        for run in at_work(self.worker.serving_runs()):
+        for run in running_runs(self.worker.serving_runs()):
             step = run.task.step
             if step not in lacking:
-                loss = self.model.loss(step.request.image, pressures)
-                rest = step.own_load.forecast(at_s=now_s + _AHEAD_S)
+                loss = self.model.expected_loss(step.request.image, pressures)
+                baseline = step.baseline_headroom.forecast(
+                    at_s=now_s + _AHEAD_S
+                )
                 margin = _SPREAD_FACTOR * math.sqrt(loss.variance)
                 wanted = _WANTED_HEADROOM + margin
-                lacking[step] = wanted - rest + loss.headroom
+                lacking[step] = wanted - baseline + loss.headroom
             if run in self._over_since_s:
-                seen = _WANTED_HEADROOM - headroom_of(run)
+                seen = _WANTED_HEADROOM - measured_headroom(run)
                 lacking[step] = max(lacking[step], seen)
         return lacking
 
@@ -150,7 +154,7 @@
         lacking: Mapping[Step, float],
     ) -> Callable[[Run], float]:
         def blame(run: Run) -> float:
-            share = share_of(run, self.worker, FULL_PERCENT)
+            share = cpu_share_of(run, self.worker, FULL_PERCENT)
             return share * sum(
                 self.model.weight(run.step.image, step.request.image)
                 for step, lack in lacking.items()
@@ -176,5 +180,5 @@
 
 def _is_due(run: Run, percent: int, now_s: float) -> bool:
     if percent > run.pace_percent:
-        return now_s - run.paced_until_s > _RAISE_PAUSE_S
+        return now_s - run.pace_changed_s > _RAISE_PAUSE_S
     return percent < run.pace_percent
--- a/src/marjoramwharf/scheduling/placement.py
+++ b/src/marjoramwharf/scheduling/placement.py
@@ -16,7 +16,7 @@
 from marjoramwharf.scheduling.fleet import Fleet, Worker
 from marjoramwharf.scheduling.interference import InterferenceModel
 from marjoramwharf.scheduling.job_state import Run, RunPhase, Task
-from marjoramwharf.scheduling.headroom import harm_of
+from marjoramwharf.scheduling.headroom import expected_harm
 from marjoramwharf.scheduling.workload import StepRequest
 
 # Cost of a choice, in units of one whole worker in use.
@@ -40,32 +40,32 @@
 _LEAST_LEFT_SHARE = 0.05
 
 # The size of a serving job in millicores as long as none is known.
-USUAL_SERVING_CPU = 40_000.0
+DEFAULT_SERVING_JOB_MILLICORES = 40_000.0
 
 # A worker takes filling tasks up to this share of its processors.
 _FILL_LIMIT_SHARE = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class PlacementContext:
     """What a choice depends on besides the task and the workers.
 
     A filling task waits rather than spoil more than ``allowed_harm`` serving
-    jobs, of which a usual one has ``usual_serving_cpu`` millicores. ``avoid``
+    jobs, of which a usual one has ``serving_job_millicores`` millicores. ``excluded_workers``
     are workers that must not be chosen.
     """
 
     model: InterferenceModel
     now_s: float
     allowed_harm: float = math.inf
-    usual_serving_cpu: float = USUAL_SERVING_CPU
-    avoid: frozenset[WorkerId] = frozenset()
+    serving_job_millicores: float = DEFAULT_SERVING_JOB_MILLICORES
+    excluded_workers: frozenset[WorkerId] = frozenset()
 
 
 def choose_worker(
     task: Task,
     workers: Iterable[Worker],
-    choice: Choice,
+    choice: PlacementContext,
 ) -> Worker | None:
     """Return the cheapest worker that may run a task now, if there is one."""
     best: Worker | None = None
@@ -78,7 +78,7 @@
     return best
 
 
-class StepChooser:
+class WorkerSelector:
     """Chooses workers for equal tasks, one after the other.
 
     The costs of all workers are computed once; afterwards only that of the
@@ -89,7 +89,7 @@
         self,
         task: Task,
         workers: Sequence[Worker],
-        choice: Choice,
+        choice: PlacementContext,
     ) -> None:
         """Rank the workers for the tasks of a step, of which one is given."""
         self._task = task
@@ -127,15 +127,17 @@
     """Whether the rules let a worker run a task now."""
     request = task.step.request
     limit = request.per_worker_limit
-    if not worker.is_usable(now_s) or not worker.holds(request):
+    if not worker.is_usable(now_s) or not worker.has_resources_for(request):
         return False
-    if limit and worker.count_of(task.step) >= limit:
+    if limit and worker.runs_count_of(task.step) >= limit:
         return False
     label = request.required_label
     return not label or label in worker.listing.labels
 
 
-def cost_of(task: Task, worker: Worker, choice: Choice) -> float:
+def placement_cost(
+    task: Task, worker: Worker, choice: PlacementContext
+) -> float:
     """Return how much a choice costs its own job and its neighbours.
 
     An infinite cost means that the task should rather wait.
@@ -148,7 +150,7 @@
         load_cost = _serving_cost(task, worker)
     else:
         load_cost = _plain_cost(worker)
-    cost = load_cost + _FAILURE_COST * worker.failures_at(now_s)
+    cost = load_cost + _FAILURE_COST * worker.failure_weight_at(now_s)
     if worker.suspect_until_s > now_s:
         cost += _SUSPECT_COST
     if worker.worker_id in task.failed_workers:
@@ -158,11 +160,11 @@
     return cost
 
 
-def choose_workers(
+def choose_gang_workers(
     tasks: Sequence[Task],
     fleet: Fleet,
     candidates: Sequence[Worker],
-    choice: Choice,
+    choice: PlacementContext,
 ) -> list[tuple[Task, Worker]] | None:
     """Return a worker for each task of a gang, or ``None`` for the whole.
 
@@ -182,33 +184,35 @@
     return None
 
 
-def _allowed_cost(task: Task, worker: Worker, choice: Choice) -> float:
-    if worker.worker_id in choice.avoid:
+def _allowed_cost(
+    task: Task, worker: Worker, choice: PlacementContext
+) -> float:
+    if worker.worker_id in choice.excluded_workers:
         return math.inf
     if not may_run(task, worker, choice.now_s):
         return math.inf
-    return cost_of(task, worker, choice)
+    return placement_cost(task, worker, choice)
 
 
 def _fill_cost(
     request: StepRequest,
     worker: Worker,
-    choice: Choice,
+    choice: PlacementContext,
 ) -> float:
     """Cost by the slowdown of the task and the harm to what serves."""
     whole = max(1, worker.capacity.cpu_millicores)
-    serving = worker.serving_cpu / whole * _SERVING_USE_SHARE
-    plain = (worker.cpu_used - worker.serving_cpu) / whole
+    serving = worker.serving_millicores / whole * _SERVING_USE_SHARE
+    plain = (worker.reserved_millicores - worker.serving_millicores) / whole
     own = request.cpu_millicores / whole
-    used = plain + worker.fill_cpu / whole + serving + own
-    if used > _FILL_LIMIT_SHARE and worker.fill_cpu:
+    used = plain + worker.filling_millicores / whole + serving + own
+    if used > _FILL_LIMIT_SHARE and worker.filling_millicores:
         return math.inf
-    harm = harm_of(
+    harm = expected_harm(
         request,
         worker,
         choice.model,
         now_s=choice.now_s,
-        usual_cpu=choice.usual_serving_cpu,
+        job_millicores=choice.serving_job_millicores,
     )
     if harm > choice.allowed_harm:
         return math.inf
@@ -234,19 +238,19 @@
         for run in worker.serving_runs()
         if run.step.image != task.step.request.image
     )
-    cost = _FILL_BESIDE_SERVING_COST * worker.fill_cpu / whole
+    cost = _FILL_BESIDE_SERVING_COST * worker.filling_millicores / whole
     cost += _OTHER_IMAGE_COST * other / whole
-    cost -= worker.serving_cpu / whole
-    if worker.count_of(task.step):
+    cost -= worker.serving_millicores / whole
+    if worker.runs_count_of(task.step):
         cost -= _TOGETHER_GAIN
     return cost
 
 
 def _plain_cost(worker: Worker) -> float:
     whole = max(1, worker.capacity.cpu_millicores)
-    filling = worker.fill_cpu / whole
-    serving = worker.serving_cpu / whole * _SERVING_USE_SHARE
-    plain = (worker.cpu_used - worker.serving_cpu) / whole
+    filling = worker.filling_millicores / whole
+    serving = worker.serving_millicores / whole * _SERVING_USE_SHARE
+    plain = (worker.reserved_millicores - worker.serving_millicores) / whole
     return plain + filling + serving
 
 
@@ -254,7 +258,7 @@
     tasks: Sequence[Task],
     fleet: Fleet,
     usable: Sequence[Worker],
-    choice: Choice,
+    choice: PlacementContext,
 ) -> list[tuple[Task, Worker]] | None:
     chosen: list[tuple[Task, Worker]] = []
     placeholders: list[Run] = []
@@ -277,5 +281,5 @@
         worker_id=worker.worker_id,
         born_ms=worker.born_ms,
         phase=RunPhase.PLANNED,
-        placed_s=now_s,
+        planned_s=now_s,
     )
--- a/src/marjoramwharf/scheduling/planner.py
+++ b/src/marjoramwharf/scheduling/planner.py
@@ -10,7 +10,7 @@
 from marjoramwharf.ids import WorkerId
 from marjoramwharf.scheduling.fleet import Fleet, Worker
 from marjoramwharf.scheduling.interference import InterferenceModel
-from marjoramwharf.scheduling.job_book import JobBook, gang_of
+from marjoramwharf.scheduling.job_table import JobTable, gang_of
 from marjoramwharf.scheduling.job_state import Run, Step, Task
 from marjoramwharf.scheduling.ordering import (
     Rank,
@@ -20,14 +20,14 @@
     step_rank,
 )
 from marjoramwharf.scheduling.placement import (
-    USUAL_SERVING_CPU,
-    Choice,
-    StepChooser,
+    DEFAULT_SERVING_JOB_MILLICORES,
+    PlacementContext,
+    WorkerSelector,
     choose_worker,
-    choose_workers,
+    choose_gang_workers,
 )
 from marjoramwharf.scheduling.policy import QueuePolicy
-from marjoramwharf.scheduling.refusals import Refusals
+from marjoramwharf.scheduling.unplaceable_steps import UnplaceableSteps
 
 # Serving jobs that a task may spoil: hardly any while its job has time to
 # wait, and one more for each ``_HARM_STEP_MS`` below ``_PATIENT_SLACK_MS``.
@@ -63,7 +63,7 @@
 class Planner:
     """Places the ready tasks of a book on the workers of a fleet."""
 
-    book: JobBook
+    job_table: JobTable
     fleet: Fleet
     model: InterferenceModel
     tickets: TicketSource
@@ -78,7 +78,7 @@
         """Plan runs for what fits now; they are reserved but not ordered."""
         tasks = [
             task
-            for task in self.book.ready.values()
+            for task in self.job_table.ready.values()
             if task.not_before_s <= now_s
         ]
         groups = group_by_step(tasks)
@@ -94,16 +94,16 @@
             for number, group in enumerate(groups)
         )
         planned: list[StepPlan] = []
-        refusals = Refusals()
+        refusals = UnplaceableSteps()
         usual_cpu = self._usual_serving_cpu()
         for rank, number in ranked:
             group = groups[number]
             service = queue_of(group[0], queues).service
-            choice = Choice(
+            choice = PlacementContext(
                 self.model,
                 now_s,
                 allowed_harm=self._allowed_harm(group[0], rank, now_s),
-                usual_serving_cpu=usual_cpu,
+                serving_job_millicores=usual_cpu,
             )
             plan = self._plan_group(group, service, rank, refusals, choice)
             if plan is not None:
@@ -115,8 +115,8 @@
         group: Sequence[Task],
         service: str,
         rank: Rank,
-        refusals: Refusals,
-        choice: Choice,
+        refusals: UnplaceableSteps,
+        choice: PlacementContext,
     ) -> StepPlan | None:
         """Place the ready tasks of one step, as far as there is room."""
         step = group[0].step.request
@@ -128,14 +128,16 @@
         is_general = not (step.is_gang or step.needs_one_rack)
         if len(runs) < len(group) and is_general:
             if self.tickets(group[0].step) is None:
-                refusals.note(service, step, allowed_harm)
+                refusals.add(service, step, allowed_harm)
         return StepPlan(runs, rank, allowed_harm) if runs else None
 
-    def has_place(self, task: Task, service: str, *, now_s: float) -> bool:
+    def has_alternative_worker(
+        self, task: Task, service: str, *, now_s: float
+    ) -> bool:
         """Whether another worker could take a task now."""
         return self._other_worker(task, service, now_s) is not None
 
-    def duplicate(
+    def plan_duplicate(
         self,
         task: Task,
         service: str,
@@ -156,19 +158,21 @@
         return choose_worker(
             task,
             self._candidates(task, service),
-            Choice(self.model, now_s, avoid=taken),
+            PlacementContext(self.model, now_s, excluded_workers=taken),
         )
 
     def _usual_serving_cpu(self) -> float:
         """Return the mean size of the serving jobs in millicores."""
         sizes = [
             step.count * step.cpu_millicores
-            for job in self.book.jobs.values()
+            for job in self.job_table.jobs.values()
             if job.is_open
             for step in job.request.steps
             if step.target_tail_ms
         ]
-        return statistics.fmean(sizes) if sizes else USUAL_SERVING_CPU
+        return (
+            statistics.fmean(sizes) if sizes else DEFAULT_SERVING_JOB_MILLICORES
+        )
 
     def _allowed_harm(self, task: Task, rank: Rank, now_s: float) -> float:
         """Return how many serving jobs a task may spoil."""
@@ -186,7 +190,7 @@
         whole = 0
         for worker in self.fleet.workers.values():
             used += min(
-                worker.cpu_used + worker.fill_cpu,
+                worker.reserved_millicores + worker.filling_millicores,
                 worker.capacity.cpu_millicores,
             )
             whole += worker.capacity.cpu_millicores
@@ -196,7 +200,7 @@
         self,
         group: Sequence[Task],
         service: str,
-        choice: Choice,
+        choice: PlacementContext,
     ) -> list[Run]:
         candidates = self._candidates(group[0], service)
         if group[0].step.request.is_gang:
@@ -205,7 +209,7 @@
             candidates = _rack_first(group[0].step, candidates)
         planned: list[Run] = []
         fresh = [task for task in group if not task.failed_workers]
-        chooser = StepChooser((fresh or group)[0], candidates, choice)
+        chooser = WorkerSelector((fresh or group)[0], candidates, choice)
         for task in group:
             worker = chooser.choose(task)
             if worker is None:
@@ -217,10 +221,10 @@
         self,
         first: Task,
         candidates: Sequence[Worker],
-        choice: Choice,
+        choice: PlacementContext,
     ) -> list[Run]:
         tasks = gang_of(first)
-        chosen = choose_workers(
+        chosen = choose_gang_workers(
             tasks,
             self.fleet,
             candidates,
@@ -240,7 +244,7 @@
         *,
         number: int | None = None,
     ) -> Run:
-        run = self.book.place(
+        run = self.job_table.plan_run(
             task,
             worker_id=worker.worker_id,
             born_ms=worker.born_ms,
@@ -252,7 +256,7 @@
         return run
 
     def _candidates(self, task: Task, service: str) -> list[Worker]:
-        workers = self.fleet.of_service(service)
+        workers = self.fleet.workers_of(service)
         tickets = self.tickets(task.step)
         if tickets is None:
             return workers
@@ -264,10 +268,10 @@
 
     Before the first start, that is the rack with the most free processors.
     """
-    running = [worker for worker in candidates if worker.count_of(step)]
+    running = [worker for worker in candidates if worker.runs_count_of(step)]
     racks: dict[str, float] = {}
     for worker in candidates:
-        free = worker.capacity.cpu_millicores - worker.cpu_used
+        free = worker.capacity.cpu_millicores - worker.reserved_millicores
         racks[worker.listing.rack] = racks.get(worker.listing.rack, 0) + free
     chosen = max(racks, key=racks.__getitem__, default='')
     if running:
--- a/src/marjoramwharf/scheduling/policy.py
+++ b/src/marjoramwharf/scheduling/policy.py
@@ -47,12 +47,12 @@
 class ServicePolicy:
     """Workers of one service.
 
-    A worker that ``guards_capacity`` refuses what does not fit; the others
+    A worker that ``enforces_capacity`` refuses what does not fit; the others
     start whatever they are told. The workers of a spare service are off.
     """
 
     name: str
-    guards_capacity: bool = False
+    enforces_capacity: bool = False
     is_spare: bool = False
     health_path: str = ''
 
--- a/src/marjoramwharf/scheduling/readings.py
+++ b/src/marjoramwharf/scheduling/readings.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 
 from marjoramwharf.scheduling.fleet import Worker
-from marjoramwharf.scheduling.headroom import share_of
+from marjoramwharf.scheduling.headroom import cpu_share_of
 from marjoramwharf.scheduling.interference import (
     InterferenceModel,
-    Pressure,
+    FillingLoad,
     is_saturated,
 )
 from marjoramwharf.scheduling.job_state import Run, RunPhase, Step
@@ -47,14 +47,14 @@
 
 
 @dataclass(slots=True)
-class ReadingLearner:
+class InterferenceLearner:
     """Learns from each look at one worker."""
 
     worker: Worker
     model: InterferenceModel
     _past: list[_Past] = field(default_factory=list)
 
-    def note_end(self, run: Run, *, now_s: float) -> None:
+    def record_end(self, run: Run, *, now_s: float) -> None:
         """Remember a filling run that has just ended."""
         if run.step.fills and run.started_s is not None:
             self._past.append(
@@ -80,36 +80,40 @@
                     now_s,
                 )
             else:
-                step.own_load.observe(
+                step.baseline_headroom.observe(
                     headroom,
                     at_s=now_s - _WINDOW_S / 2,
                     variance=variance,
                 )
-        self.worker.touch()
+        self.worker.mark_changed()
 
     def _learn_disturbed(
         self,
         step: Step,
         headroom: float,
         variance: float,
-        pressures: list[Pressure],
+        pressures: list[FillingLoad],
         now_s: float,
     ) -> None:
         at_s = now_s - _WINDOW_S / 2
         image = step.request.image
-        lost = step.own_load.forecast(at_s=at_s) - headroom
+        lost_headroom = step.baseline_headroom.forecast(at_s=at_s) - headroom
         saturated = is_saturated(headroom)
-        if not saturated or self.model.loss(image, pressures).headroom < lost:
+        if (
+            not saturated
+            or self.model.expected_loss(image, pressures).headroom
+            < lost_headroom
+        ):
             self.model.observe(
                 image,
                 pressures,
-                lost=lost,
+                lost_headroom=lost_headroom,
                 variance=variance + _FORECAST_VARIANCE,
             )
         if not saturated:
-            loss = self.model.loss(image, pressures)
+            loss = self.model.expected_loss(image, pressures)
             variance += _LOSS_VARIANCE_FACTOR * loss.variance
-            step.own_load.observe(
+            step.baseline_headroom.observe(
                 headroom + loss.headroom,
                 at_s=at_s,
                 variance=variance + _DISTURBED_VARIANCE,
@@ -118,39 +122,41 @@
     def _headrooms(self, now_s: float) -> Iterator[tuple[Step, float]]:
         """Return the mean headroom of each step's tasks on the worker."""
         found: dict[Step, list[float]] = {}
-        for run in at_work(self.worker.serving_runs()):
+        for run in running_runs(self.worker.serving_runs()):
             if run.reading and _is_settled(run, now_s):
-                found.setdefault(run.task.step, []).append(headroom_of(run))
+                found.setdefault(run.task.step, []).append(
+                    measured_headroom(run)
+                )
         for step, headrooms in found.items():
             yield step, statistics.fmean(headrooms)
 
-    def _recent_pressures(self, now_s: float) -> Iterator[Pressure]:
+    def _recent_pressures(self, now_s: float) -> Iterator[FillingLoad]:
         since_s = now_s - _WINDOW_S
         self._past = [past for past in self._past if past.ended_s > since_s]
         for past in self._past:
             part = _overlap(past.started_s, past.ended_s, since_s)
             if past.share * part > _LEAST_SHARE:
-                yield Pressure(past.image, past.share * part)
-        for run in at_work(self.worker.filling_runs()):
+                yield FillingLoad(past.image, past.share * part)
+        for run in running_runs(self.worker.filling_runs()):
             started_s = now_s if run.started_s is None else run.started_s
             part = _overlap(started_s, now_s, since_s)
             share = self._used_share(run) * part
             if share > _LEAST_SHARE:
-                yield Pressure(run.step.image, share)
+                yield FillingLoad(run.step.image, share)
 
     def _used_share(self, run: Run) -> float:
         """Return the share of the worker that a run uses."""
         if run.reading:
             return run.reading / max(1, self.worker.capacity.cpu_millicores)
-        return share_of(run, self.worker, run.pace_percent)
+        return cpu_share_of(run, self.worker, run.pace_percent)
 
 
-def headroom_of(run: Run) -> float:
+def measured_headroom(run: Run) -> float:
     """Return the target of a serving run divided by its tail."""
     return run.step.target_tail_ms / max(1, run.reading)
 
 
-def at_work(runs: Iterable[Run]) -> list[Run]:
+def running_runs(runs: Iterable[Run]) -> list[Run]:
     """Return the runs that have begun and are not being stopped."""
     return [run for run in runs if run.phase is RunPhase.RUNNING]
 
--- a/src/marjoramwharf/scheduling/rescue.py
+++ b/src/marjoramwharf/scheduling/run_moves.py
@@ -40,7 +40,7 @@
 
 
 @enum.unique
-class Trouble(enum.Enum):
+class MoveReason(enum.Enum):
     """Why a run is moved."""
 
     LEAVING = 'leaving'
@@ -49,25 +49,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rescue:
+class RunMove:
     """A run that should be moved, or doubled where that is allowed."""
 
     run: Run
-    trouble: Trouble
+    trouble: MoveReason
 
 
-def find_rescues(worker: Worker, *, now_s: float) -> Iterator[Rescue]:
+def find_run_moves(worker: Worker, *, now_s: float) -> Iterator[RunMove]:
     """Return the runs of a worker that should not stay there."""
     if not worker.is_reachable:
         return
     for run in worker.runs:
-        if run.phase is RunPhase.RUNNING and run.is_seen:
+        if run.phase is RunPhase.RUNNING and run.is_listed:
             trouble = _trouble_of(run, worker, now_s)
             if trouble is not None:
-                yield Rescue(run, trouble)
+                yield RunMove(run, trouble)
 
 
-def rest_s(run: Run, now_s: float) -> float:
+def expected_remaining_s(run: Run, now_s: float) -> float:
     """Return how long a run is expected to go on."""
     started_s = now_s if run.started_s is None else run.started_s
     elapsed_s = now_s - started_s
@@ -78,14 +78,14 @@
     return elapsed_s * (_FULL_PERCENT - run.percent) / done
 
 
-def _trouble_of(run: Run, worker: Worker, now_s: float) -> Trouble | None:
+def _trouble_of(run: Run, worker: Worker, now_s: float) -> MoveReason | None:
     if worker.listing.state is WorkerState.DRAINING:
-        return Trouble.LEAVING if _must_leave(run, worker, now_s) else None
+        return MoveReason.LEAVING if _must_leave(run, worker, now_s) else None
     # Progress is as old as the latest look, so it is judged by that time.
-    if _is_hung(run, worker.looked_s):
-        return Trouble.HUNG
-    if _is_slow(run, worker.looked_s):
-        return Trouble.SLOW
+    if _is_hung(run, worker.polled_s):
+        return MoveReason.HUNG
+    if _is_slow(run, worker.polled_s):
+        return MoveReason.SLOW
     return None
 
 
@@ -93,26 +93,26 @@
     if run.step.is_lasting:
         return True
     left_s = worker.leaves_s - now_s
-    if rest_s(run, now_s) < left_s:
+    if expected_remaining_s(run, now_s) < left_s:
         return False
     return not run.step.has_checkpoints or left_s < _LEAVE_MARGIN_S
 
 
-def _is_hung(run: Run, looked_s: float) -> bool:
+def _is_hung(run: Run, polled_s: float) -> bool:
     if run.percent >= _FULL_PERCENT or run.pace_percent < _FULL_PERCENT:
         return False
-    still_s = looked_s - max(run.moved_s, run.paced_until_s)
+    still_s = polled_s - max(run.progressed_s, run.pace_changed_s)
     if run.step.is_lasting:
         return still_s > _HUNG_START_S
     return still_s > _HUNG_S
 
 
-def _is_slow(run: Run, looked_s: float) -> bool:
+def _is_slow(run: Run, polled_s: float) -> bool:
     step = run.step
-    was_paced = run.paced_until_s or run.pace_percent < _FULL_PERCENT
+    was_paced = run.pace_changed_s or run.pace_percent < _FULL_PERCENT
     if step.is_lasting or was_paced or run.started_s is None:
         return False
-    if looked_s - run.started_s < _SLOW_AGE_S:
+    if polled_s - run.started_s < _SLOW_AGE_S:
         return False
     paces = _paces(run.task.step)
     if len(paces) < _SLOW_PEERS_COUNT:
@@ -120,7 +120,7 @@
     if _pace(run) >= _SLOW_SHARE * statistics.median(paces):
         return False
     is_losable = step.has_checkpoints or run.percent < _LOSABLE_PERCENT
-    return rest_s(run, looked_s) > _SLOW_REST_S and is_losable
+    return expected_remaining_s(run, polled_s) > _SLOW_REST_S and is_losable
 
 
 def _paces(step: Step) -> list[float]:
@@ -131,12 +131,12 @@
         for run in task.runs.values()
         if run.phase is RunPhase.RUNNING and run.percent > run.resumed_percent
     ]
-    return [*step.ended_paces, *running]
+    return [*step.ended_progress_rates, *running]
 
 
 def _pace(run: Run) -> float:
     """Return the percentages per second between two looks."""
     if run.started_s is None:
         return 0
-    elapsed_s = max(run.read_s - run.started_s, _LEAST_AGE_S)
+    elapsed_s = max(run.progress_read_s - run.started_s, _LEAST_AGE_S)
     return (run.percent - run.resumed_percent) / elapsed_s
--- a/src/marjoramwharf/scheduling/refusals.py
+++ b/src/marjoramwharf/scheduling/unplaceable_steps.py
@@ -20,12 +20,12 @@
 
 
 @dataclass(slots=True)
-class Refusals:
+class UnplaceableSteps:
     """The steps that were refused in this pass."""
 
     _known: list[_Refusal] = field(default_factory=list)
 
-    def note(
+    def add(
         self,
         service: str,
         step: StepRequest,
--- a/src/marjoramwharf/scheduling/workload.py
+++ b/src/marjoramwharf/scheduling/workload.py
@@ -24,7 +24,7 @@
     worker must have, and ``per_worker_limit`` how many tasks of the step one
     worker may run (0: any number). ``fills`` means that the task takes the
     processors that other tasks leave unused, and isn't counted against the
-    worker's. ``may_miss_count`` tasks of a lasting step may be away at a time
+    worker's. ``max_unavailable_count`` tasks of a lasting step may be away at a time
     by our own doing.
     """
 
@@ -45,7 +45,7 @@
     image: str = ''
     target_tail_ms: int = 0
     fills: bool = False
-    may_miss_count: int = 0
+    max_unavailable_count: int = 0
 
 
 class JobRequest(Struct, frozen=True, array_like=True):
@@ -89,12 +89,12 @@
     return TaskId(f'{job_id}.{occurrence}.{step}.{index}')
 
 
-def chain_lengths_ms(steps: Sequence[StepRequest]) -> list[int]:
+def critical_paths_ms(steps: Sequence[StepRequest]) -> list[int]:
     """Return for each step the longest estimate from its start to the end.
 
     >>> first = StepRequest(1, estimate_ms=100)
     >>> second = StepRequest(1, estimate_ms=50, after=(0,))
-    >>> chain_lengths_ms([first, second])
+    >>> critical_paths_ms([first, second])
     [150, 50]
     """
     lengths_ms = [step.estimate_ms for step in steps]
--- a/tests/cells/test_model_keeper.py
+++ b/tests/cells/test_model_keeper.py
@@ -9,7 +9,7 @@
 from marjoramwharf.cells.model_keeper import ModelKeeper
 from marjoramwharf.cells.records import model_key
 from marjoramwharf.links.store import Guard, Write
-from marjoramwharf.scheduling.interference import InterferenceModel, Pressure
+from marjoramwharf.scheduling.interference import InterferenceModel, FillingLoad
 from standins.polling_store import PollingMemoryStore
 from tests.cells.world import CELL, run_with_clock
 
@@ -48,8 +48,8 @@
         for _ in range(40):
             keeper.model.observe(
                 's',
-                [Pressure('f', 0.1)],
-                lost=1,
+                [FillingLoad('f', 0.1)],
+                lost_headroom=1,
                 variance=0.05,
             )
         await self._run(keeper)
@@ -62,7 +62,9 @@
         store, owner = await _owned_store()
         await store.commit([], [Write(_OWNER_KEY, b'e2')])
         keeper = _keeper(store, owner)
-        keeper.model.observe('s', [Pressure('f', 0.1)], lost=1, variance=0.05)
+        keeper.model.observe(
+            's', [FillingLoad('f', 0.1)], lost_headroom=1, variance=0.05
+        )
         await self._run(keeper)
         self.assertNotIn(model_key(CELL), store.state.stored)
 
@@ -71,7 +73,7 @@
         await store.commit([], [Write(model_key(CELL), b'\xc1')])
         keeper = _keeper(store, owner)
         await keeper.load()
-        self.assertFalse(keeper.model.known_weights())
+        self.assertFalse(keeper.model.learned_weights())
 
     async def _run(self, keeper: ModelKeeper) -> None:
         with trio.move_on_after(4):
--- a/tests/cells/world.py
+++ b/tests/cells/world.py
@@ -29,7 +29,7 @@
 from marjoramwharf.ids import DataCentreId, JobId, TaskId, WorkerId
 from marjoramwharf.links.follower import Follower
 from marjoramwharf.links.store import Guard, Write
-from marjoramwharf.scheduling.fleet import Room, WorkerListing, WorkerState
+from marjoramwharf.scheduling.fleet import Resources, WorkerListing, WorkerState
 from marjoramwharf.scheduling.policy import Configuration, QueuePolicy
 from marjoramwharf.scheduling.workload import JobRequest, StepRequest
 from standins.polling_store import PollingMemoryStore
@@ -139,7 +139,7 @@
             port=1,
             data_centre=DataCentreId('plovdiv'),
             state=state,
-            capacity=Room(8_000, 8_000, 0),
+            capacity=Resources(8_000, 8_000, 0),
             labels=('a', 'r1'),
             remaining_ms=remaining_ms,
         )
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -62,7 +62,7 @@
         )
         assert queue.advice is not None
         self.assertEqual(2, queue.advice.per_worker_ms)
-        self.assertTrue(configuration.services['presses'].guards_capacity)
+        self.assertTrue(configuration.services['presses'].enforces_capacity)
         self.assertEqual(4096, configuration.limits.body_bytes)
         self.assertIsNone(configuration.queue_at('nony24.example', '/x'))
         self.assertIsNone(configuration.queue_at('other', '/lohu930/'))
@@ -138,7 +138,7 @@
             (18, 1, 1),
             (
                 second.target_tail_ms,
-                second.may_miss_count,
+                second.max_unavailable_count,
                 second.accelerators_count,
             ),
         )
--- a/tests/scheduling/fixtures.py
+++ b/tests/scheduling/fixtures.py
@@ -7,12 +7,12 @@
 from marjoramwharf.ids import DataCentreId, JobId, WorkerId
 from marjoramwharf.scheduling.fleet import (
     Fleet,
-    Room,
+    Resources,
     Worker,
     WorkerListing,
     WorkerState,
 )
-from marjoramwharf.scheduling.job_book import JobBook
+from marjoramwharf.scheduling.job_table import JobTable
 from marjoramwharf.scheduling.job_state import Job, Run, RunPhase, Task
 from marjoramwharf.scheduling.policy import QueuePolicy
 from marjoramwharf.scheduling.workload import JobRequest, StepRequest
@@ -32,7 +32,7 @@
 
 def make_worker(name: str, **fields: Any) -> Worker:
     """Return a reachable worker with 32 cores in rack ``r1``."""
-    fields.setdefault('capacity', Room(32_000, 128_000, 0))
+    fields.setdefault('capacity', Resources(32_000, 128_000, 0))
     fields.setdefault('labels', ('a', 'r1'))
     fields.setdefault('state', WorkerState.READY)
     listing = WorkerListing(
@@ -60,7 +60,7 @@
 
 
 def add_job(
-    book: JobBook,
+    job_table: JobTable,
     name: str,
     *steps: StepRequest,
     accepted_at_ms: int = 0,
@@ -75,7 +75,7 @@
         steps=steps,
         accepted_at_ms=accepted_at_ms,
     )
-    return book.add(request, now_s=now_s, now_ms=int(now_s * 1_000))
+    return job_table.add(request, now_s=now_s, now_ms=int(now_s * 1_000))
 
 
 def first_task(job: Job, step: int = 0) -> Task:
@@ -85,14 +85,14 @@
 
 
 def start_run(
-    book: JobBook,
+    job_table: JobTable,
     task: Task,
     worker: Worker,
     *,
     now_s: float = 0,
 ) -> Run:
     """Place and start a run of a task."""
-    run = book.place(
+    run = job_table.plan_run(
         task,
         worker_id=worker.worker_id,
         born_ms=0,
@@ -100,7 +100,7 @@
         now_s=now_s,
     )
     run.phase = RunPhase.ORDERED
-    book.started(run, now_s=now_s)
+    job_table.mark_started(run, now_s=now_s)
     worker.add(run)
-    run.is_seen = True
+    run.is_listed = True
     return run
--- a/tests/scheduling/test_own_load.py
+++ b/tests/scheduling/test_baseline_headroom.py
@@ -6,10 +6,10 @@
 import random
 import unittest
 
-from marjoramwharf.scheduling.own_load import OwnLoad
+from marjoramwharf.scheduling.baseline_headroom import BaselineHeadroom
 
 
-class OwnLoadTests(unittest.TestCase):
+class BaselineHeadroomTests(unittest.TestCase):
     """A headroom that rises and falls within seconds."""
 
     def test_a_falling_load_is_foreseen(self) -> None:
@@ -18,7 +18,7 @@
         Half a second ahead, the forecast is nearer than the last reading.
         """
         rng = random.Random(7)
-        load = OwnLoad()
+        load = BaselineHeadroom()
         missed: float = 0
         missed_by_last: float = 0
         for look in range(400):
@@ -32,11 +32,11 @@
 
     def test_unknown_load(self) -> None:
         """Guards against a job without readings that counts as idle."""
-        self.assertEqual(2, OwnLoad().forecast(at_s=5))
+        self.assertEqual(2, BaselineHeadroom().forecast(at_s=5))
 
     def test_old_readings_fade(self) -> None:
         """Guards against a load that is taken from long ago."""
-        load = OwnLoad()
+        load = BaselineHeadroom()
         for second in range(10):
             load.observe(3, at_s=second, variance=0.05)
         for second in range(20, 25):
@@ -45,7 +45,7 @@
 
     def test_readings_out_of_order(self) -> None:
         """Guards against a reading that is older than the latest one."""
-        load = OwnLoad()
+        load = BaselineHeadroom()
         load.observe(2, at_s=10, variance=0.05)
         load.observe(2, at_s=9.9, variance=0.05)
         self.assertAlmostEqual(2, load.forecast(at_s=10), delta=0.1)
--- a/tests/scheduling/test_job_book.py
+++ b/tests/scheduling/test_job_table.py
@@ -14,7 +14,7 @@
     progress_of,
     restore_job,
 )
-from marjoramwharf.scheduling.job_book import JobBook
+from marjoramwharf.scheduling.job_table import JobTable
 from marjoramwharf.scheduling.job_state import (
     JobPhase,
     Run,
@@ -30,82 +30,84 @@
 )
 
 
-class JobBookTests(unittest.TestCase):
+class JobTableTests(unittest.TestCase):
     """Guards against tasks that start too early, too often or never."""
 
     def setUp(self) -> None:
         """Start with an empty book."""
-        self.book = JobBook()
+        self.job_table = JobTable()
         self.worker = make_worker('w1')
 
     def test_step_opens_after_all_before(self) -> None:
         """Guards against a step that starts before the last end."""
-        job = add_job(self.book, 'j', make_step(2), make_step(after=(0,)))
+        job = add_job(self.job_table, 'j', make_step(2), make_step(after=(0,)))
         runs = [
-            start_run(self.book, task, self.worker)
+            start_run(self.job_table, task, self.worker)
             for task in job.occurrences[0].steps[0].tasks
         ]
         self._end(runs[0], RunEnd.DONE)
-        self.assertFalse(self.book.ready)
+        self.assertFalse(self.job_table.ready)
         self._end(runs[1], RunEnd.DONE)
-        self.assertEqual(['j.0.1.0'], list(self.book.ready))
+        self.assertEqual(['j.0.1.0'], list(self.job_table.ready))
 
     def test_failures_count(self) -> None:
         """Guards against a lapse or a stop that counts as an attempt."""
-        job = add_job(self.book, 'j', make_step())
+        job = add_job(self.job_table, 'j', make_step())
         for how in (RunEnd.LAPSED, RunEnd.STOPPED, RunEnd.VANISHED):
-            self._end(start_run(self.book, first_task(job), self.worker), how)
+            self._end(
+                start_run(self.job_table, first_task(job), self.worker), how
+            )
         self.assertIs(JobPhase.OPEN, job.phase)
         for _ in range(3):
-            self.assertTrue(self.book.ready)
-            run = start_run(self.book, first_task(job), self.worker)
+            self.assertTrue(self.job_table.ready)
+            run = start_run(self.job_table, first_task(job), self.worker)
             self._end(run, RunEnd.FAILED)
         self.assertIs(JobPhase.FAILED, job.phase)
-        self.assertFalse(self.book.ready)
+        self.assertFalse(self.job_table.ready)
 
     def test_gang_ends_as_one(self) -> None:
         """Guards against a gang of which one end is not enough."""
-        job = add_job(self.book, 'j', make_step(3, is_gang=True))
+        job = add_job(self.job_table, 'j', make_step(3, is_gang=True))
         tasks = job.occurrences[0].steps[0].tasks
-        runs = [start_run(self.book, task, self.worker) for task in tasks]
+        runs = [start_run(self.job_table, task, self.worker) for task in tasks]
         self._end(runs[0], RunEnd.DONE)
         self.assertIs(JobPhase.DONE, job.phase)
-        self.assertEqual(runs[1:], self.book.surplus_runs(job))
+        self.assertEqual(runs[1:], self.job_table.surplus_runs(job))
 
     def test_gang_waits_for_all_members(self) -> None:
         """Guards against a gang that starts while a member still runs."""
-        job = add_job(self.book, 'j', make_step(2, is_gang=True))
+        job = add_job(self.job_table, 'j', make_step(2, is_gang=True))
         tasks = job.occurrences[0].steps[0].tasks
-        runs = [start_run(self.book, task, self.worker) for task in tasks]
+        runs = [start_run(self.job_table, task, self.worker) for task in tasks]
         self._end(runs[0], RunEnd.BROKEN)
-        self.assertFalse(self.book.ready)
+        self.assertFalse(self.job_table.ready)
         self._end(runs[1], RunEnd.FAILED)
-        self.assertEqual(2, len(self.book.ready))
+        self.assertEqual(2, len(self.job_table.ready))
 
     def test_duplicate_is_surplus(self) -> None:
         """Guards against a copy that runs on after the first end."""
-        job = add_job(self.book, 'j', make_step(2, may_duplicate=True))
+        job = add_job(self.job_table, 'j', make_step(2, may_duplicate=True))
         task = first_task(job)
-        first = start_run(self.book, task, self.worker)
-        second = start_run(self.book, task, make_worker('w2'))
+        first = start_run(self.job_table, task, self.worker)
+        second = start_run(self.job_table, task, make_worker('w2'))
         self._end(first, RunEnd.DONE)
-        self.assertEqual([second], self.book.surplus_runs(job))
+        self.assertEqual([second], self.job_table.surplus_runs(job))
 
     def test_cancel(self) -> None:
         """Guards against tasks of a cancelled job that may start."""
-        job = add_job(self.book, 'j', make_step(2))
-        run = start_run(self.book, first_task(job), self.worker)
-        self.book.cancel(job.job_id, now_s=1)
-        self.assertFalse(self.book.ready)
-        self.assertEqual([run], self.book.surplus_runs(job))
+        job = add_job(self.job_table, 'j', make_step(2))
+        run = start_run(self.job_table, first_task(job), self.worker)
+        self.job_table.cancel(job.job_id, now_s=1)
+        self.assertFalse(self.job_table.ready)
+        self.assertEqual([run], self.job_table.surplus_runs(job))
         self._end(run, RunEnd.STOPPED)
-        self.assertFalse(self.book.ready)
+        self.assertFalse(self.job_table.ready)
         self.assertIs(JobPhase.CANCELLED, job.phase)
 
     def test_checkpoint_is_kept(self) -> None:
         """Guards against work that starts from the beginning again."""
-        job = add_job(self.book, 'j', make_step(has_checkpoints=True))
-        run = start_run(self.book, first_task(job), self.worker)
+        job = add_job(self.job_table, 'j', make_step(has_checkpoints=True))
+        run = start_run(self.job_table, first_task(job), self.worker)
         self._end(run, RunEnd.STOPPED, saved='0bb8')
         self.assertEqual('0bb8', first_task(job).checkpoint)
 
@@ -113,23 +115,23 @@
     @given(st.lists(st.sampled_from(list(RunEnd)), max_size=30))
     def test_restored_job_is_the_same(self, ends: list[RunEnd]) -> None:
         """Guards against a state that a new owner reads differently."""
-        book = JobBook()
+        job_table = JobTable()
         job = add_job(
-            book,
+            job_table,
             'j',
             make_step(3, has_checkpoints=True),
             make_step(2, after=(0,)),
         )
         for how in ends:
-            if book.ready:
-                task = next(iter(book.ready.values()))
-                run = start_run(book, task, self.worker)
-                self._end(run, how, book=book)
+            if job_table.ready:
+                task = next(iter(job_table.ready.values()))
+                run = start_run(job_table, task, self.worker)
+                self._end(run, how, job_table=job_table)
         stored = decode(encode(progress_of(job)), ProgressRecord, key='k')
-        other = JobBook()
+        other = JobTable()
         copy = restore_job(job.request, stored, revision=1, now_s=0)
-        other.adopt(copy, now_s=0, now_ms=0)
-        self.assertEqual(set(book.ready), set(other.ready))
+        other.add_restored(copy, now_s=0, now_ms=0)
+        self.assertEqual(set(job_table.ready), set(other.ready))
         self.assertEqual(job.phase, copy.phase)
         self.assertEqual(progress_of(job), progress_of(copy))
 
@@ -139,9 +141,9 @@
         how: RunEnd,
         *,
         saved: str = '',
-        book: JobBook | None = None,
+        job_table: JobTable | None = None,
     ) -> None:
-        (book or self.book).end(
+        (job_table or self.job_table).end_run(
             run,
             how,
             saved=saved,
--- a/tests/scheduling/test_pacing.py
+++ b/tests/scheduling/test_pacing.py
@@ -5,12 +5,12 @@
 import unittest
 
 from marjoramwharf.scheduling.fleet import WorkerState
-from marjoramwharf.scheduling.interference import InterferenceModel, Pressure
-from marjoramwharf.scheduling.job_book import JobBook
+from marjoramwharf.scheduling.interference import InterferenceModel, FillingLoad
+from marjoramwharf.scheduling.job_table import JobTable
 from marjoramwharf.scheduling.job_state import Run, RunEnd
-from marjoramwharf.scheduling.pacing import PaceKeeper
-from marjoramwharf.scheduling.readings import ReadingLearner
-from marjoramwharf.scheduling.rescue import Trouble, find_rescues
+from marjoramwharf.scheduling.pacing import PaceController
+from marjoramwharf.scheduling.readings import InterferenceLearner
+from marjoramwharf.scheduling.run_moves import MoveReason, find_run_moves
 from tests.scheduling.fixtures import (
     add_job,
     first_task,
@@ -27,11 +27,11 @@
 
     def setUp(self) -> None:
         """Run one serving and one filling task."""
-        self.book = JobBook()
+        self.job_table = JobTable()
         self.worker = make_worker('w1')
         self.model = InterferenceModel()
-        self.keeper = PaceKeeper(self.worker, self.model, _HARM_S)
-        self.learner = ReadingLearner(self.worker, self.model)
+        self.keeper = PaceController(self.worker, self.model, _HARM_S)
+        self.learner = InterferenceLearner(self.worker, self.model)
         serving = make_step(image='s', is_lasting=True, target_tail_ms=18)
         filling = make_step(image='f', fills=True, cpu_millicores=4_000)
         self.serving = self._start('a', serving)
@@ -42,8 +42,8 @@
         paused_s = self._play_until_pause()
         # An order takes 0.1 s to act and readings lag by half a second.
         self.assertLessEqual(paused_s, _HARM_S - 0.6)
-        self.assertTrue(self.worker.is_paused)
-        self.assertFalse(self.worker.holds(self.filling.step))
+        self.assertTrue(self.worker.is_filling_paused)
+        self.assertFalse(self.worker.has_resources_for(self.filling.step))
 
     def test_no_pause_for_a_short_peak(self) -> None:
         """Guards against work that is held back for one high reading."""
@@ -56,7 +56,7 @@
         at_s = self._play_until_pause()
         self.filling.pace_percent = 0
         self.assertEqual(100, self._look(9, now_s=at_s + 1)[self.filling])
-        self.assertFalse(self.worker.is_paused)
+        self.assertFalse(self.worker.is_filling_paused)
 
     def test_the_model_learns(self) -> None:
         """Guards against readings that don't reach the model."""
@@ -71,11 +71,11 @@
 
         Readings cover half a second, so a run that has just ended shows.
         """
-        self.learner.note_end(self.filling, now_s=9.9)
+        self.learner.record_end(self.filling, now_s=9.9)
         self.worker.remove(self.filling)
         self.serving.reading = 18 * 4
         self.learner.learn(now_s=10)
-        calm = self.serving.task.step.own_load.forecast(at_s=10)
+        calm = self.serving.task.step.baseline_headroom.forecast(at_s=10)
         self.assertGreater(calm, 1)
 
     def test_the_run_to_blame_is_paused(self) -> None:
@@ -87,18 +87,18 @@
         for _ in range(40):
             self.model.observe(
                 's',
-                [Pressure('f', 0.1)],
-                lost=1,
+                [FillingLoad('f', 0.1)],
+                lost_headroom=1,
                 variance=0.05,
             )
             self.model.observe(
                 's',
-                [Pressure('g', 0.1)],
-                lost=0,
+                [FillingLoad('g', 0.1)],
+                lost_headroom=0,
                 variance=0.05,
             )
         for _ in range(20):
-            self.serving.task.step.own_load.observe(
+            self.serving.task.step.baseline_headroom.observe(
                 2,
                 at_s=3,
                 variance=0.05,
@@ -110,8 +110,8 @@
         self.assertNotIn(harmless, paces)
 
     def _start(self, name: str, step: object) -> Run:
-        job = add_job(self.book, name, step)  # type: ignore[arg-type]
-        return start_run(self.book, first_task(job), self.worker)
+        job = add_job(self.job_table, name, step)  # type: ignore[arg-type]
+        return start_run(self.job_table, first_task(job), self.worker)
 
     def _look(self, tail_ms: int, *, now_s: float) -> dict[Run, int]:
         self.serving.reading = tail_ms
@@ -132,41 +132,41 @@
 
     def setUp(self) -> None:
         """Start with one worker."""
-        self.book = JobBook()
+        self.job_table = JobTable()
         self.worker = make_worker('w1')
-        self.worker.looked_s = 10
+        self.worker.polled_s = 10
 
     def test_hung_run(self) -> None:
         """Guards against a job that waits for a task that stands still."""
         run = self._start(make_step(), percent=20, now_s=0)
-        run.moved_s = 8
-        self.assertEqual({run: Trouble.HUNG}, self._found(10))
+        run.progressed_s = 8
+        self.assertEqual({run: MoveReason.HUNG}, self._found(10))
 
     def test_paused_run_is_not_hung(self) -> None:
         """Guards against a move of what is held back on purpose."""
         run = self._start(make_step(fills=True), percent=20, now_s=0)
-        run.moved_s = 8
-        run.paced_until_s = 9
+        run.progressed_s = 8
+        run.pace_changed_s = 9
         self.assertFalse(self._found(10))
 
     def test_slow_run(self) -> None:
         """Guards against a step that waits for its slowest worker."""
-        job = add_job(self.book, 'j', make_step(5, has_checkpoints=True))
+        job = add_job(self.job_table, 'j', make_step(5, has_checkpoints=True))
         tasks = job.occurrences[0].steps[0].tasks
         for task in tasks[:4]:
-            run = start_run(self.book, task, make_worker('w2'), now_s=8)
-            self.book.end(
+            run = start_run(self.job_table, task, make_worker('w2'), now_s=8)
+            self.job_table.end_run(
                 run,
                 RunEnd.DONE,
                 saved='',
                 max_attempts=3,
                 now_s=9,
             )
-        slow = start_run(self.book, tasks[4], self.worker, now_s=8)
+        slow = start_run(self.job_table, tasks[4], self.worker, now_s=8)
         slow.percent = 30
-        slow.read_s = 10
-        slow.moved_s = 10
-        self.assertEqual({slow: Trouble.SLOW}, self._found(10))
+        slow.progress_read_s = 10
+        slow.progressed_s = 10
+        self.assertEqual({slow: MoveReason.SLOW}, self._found(10))
         slow.percent = 80
         self.assertFalse(self._found(10))
 
@@ -184,21 +184,21 @@
         self.assertNotIn(short, self._found(10))
 
     def _start(self, step: object, *, percent: int, now_s: float) -> Run:
-        name = f'j{len(self.book.jobs)}'
-        job = add_job(self.book, name, step)  # type: ignore[arg-type]
+        name = f'j{len(self.job_table.jobs)}'
+        job = add_job(self.job_table, name, step)  # type: ignore[arg-type]
         run = start_run(
-            self.book,
+            self.job_table,
             first_task(job),
             self.worker,
             now_s=now_s,
         )
         run.percent = percent
-        run.read_s = 10
-        run.moved_s = 10
+        run.progress_read_s = 10
+        run.progressed_s = 10
         return run
 
-    def _found(self, now_s: float) -> dict[Run, Trouble]:
+    def _found(self, now_s: float) -> dict[Run, MoveReason]:
         return {
             rescue.run: rescue.trouble
-            for rescue in find_rescues(self.worker, now_s=now_s)
+            for rescue in find_run_moves(self.worker, now_s=now_s)
         }
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -7,13 +7,13 @@
 
 from marjoramwharf.scheduling.fleet import (
     Fleet,
-    Room,
+    Resources,
     Worker,
     WorkerListing,
     WorkerState,
 )
-from marjoramwharf.scheduling.interference import InterferenceModel, Pressure
-from marjoramwharf.scheduling.job_book import JobBook
+from marjoramwharf.scheduling.interference import InterferenceModel, FillingLoad
+from marjoramwharf.scheduling.job_table import JobTable
 from marjoramwharf.scheduling.job_state import Run
 from marjoramwharf.scheduling.ordering import Tier, step_rank
 from marjoramwharf.scheduling.planner import Planner
@@ -30,14 +30,14 @@
 
 
 def _plan(
-    book: JobBook,
+    job_table: JobTable,
     fleet: Fleet,
     *,
     now_s: float = 0,
     model: InterferenceModel | None = None,
 ) -> list[Run]:
     planner = Planner(
-        book,
+        job_table,
         fleet,
         model or InterferenceModel(),
         lambda _step: None,
@@ -65,13 +65,15 @@
 
     def setUp(self) -> None:
         """Start with an empty book."""
-        self.book = JobBook()
+        self.job_table = JobTable()
 
     def test_room(self) -> None:
         """Guards against more work than a worker holds."""
-        fleet = make_fleet(make_worker('w1', capacity=Room(5_000, 9_000, 0)))
-        add_job(self.book, 'j', make_step(4))
-        self.assertEqual(2, len(_plan(self.book, fleet)))
+        fleet = make_fleet(
+            make_worker('w1', capacity=Resources(5_000, 9_000, 0))
+        )
+        add_job(self.job_table, 'j', make_step(4))
+        self.assertEqual(2, len(_plan(self.job_table, fleet)))
 
     def test_label_and_service(self) -> None:
         """Guards against a worker without the label that a step needs."""
@@ -79,31 +81,31 @@
             make_worker('w1', labels=('a', 'r1')),
             make_worker('w2', labels=('b', 'r1')),
         )
-        add_job(self.book, 'j', make_step(3, required_label='b'))
-        planned = _plan(self.book, fleet)
+        add_job(self.job_table, 'j', make_step(3, required_label='b'))
+        planned = _plan(self.job_table, fleet)
         self.assertEqual({'w2'}, {run.worker_id for run in planned})
 
     def test_limit_per_worker(self) -> None:
         """Guards against too many tasks of a step on one worker."""
         fleet = make_fleet(make_worker('w1'), make_worker('w2'))
-        add_job(self.book, 'j', make_step(6, per_worker_limit=2))
-        counts = Counter(run.worker_id for run in _plan(self.book, fleet))
+        add_job(self.job_table, 'j', make_step(6, per_worker_limit=2))
+        counts = Counter(run.worker_id for run in _plan(self.job_table, fleet))
         self.assertEqual({'w1': 2, 'w2': 2}, dict(counts))
 
     def test_draining_worker(self) -> None:
         """Guards against new work on a worker that leaves."""
         fleet = make_fleet(make_worker('w1', state=WorkerState.DRAINING))
-        add_job(self.book, 'j', make_step())
-        self.assertFalse(_plan(self.book, fleet))
+        add_job(self.job_table, 'j', make_step())
+        self.assertFalse(_plan(self.job_table, fleet))
 
     def test_worker_that_fails_everything(self) -> None:
         """Guards against a worker that burns the attempts of all jobs."""
         bad = make_worker('w1')
         for _ in range(3):
-            bad.note_outcome(has_failed=True, now_s=0)
+            bad.record_outcome(has_failed=True, now_s=0)
         fleet = make_fleet(bad, make_worker('w2'))
-        add_job(self.book, 'j', make_step(8))
-        planned = _plan(self.book, fleet)
+        add_job(self.job_table, 'j', make_step(8))
+        planned = _plan(self.job_table, fleet)
         self.assertEqual({'w2'}, {run.worker_id for run in planned})
 
     def test_failing_worker_is_tried_again(self) -> None:
@@ -114,44 +116,44 @@
         """
         worker = make_worker('w1')
         for _ in range(40):
-            worker.note_outcome(has_failed=True, now_s=0)
+            worker.record_outcome(has_failed=True, now_s=0)
         self.assertFalse(worker.is_usable(1))
         self.assertTrue(worker.is_usable(6))
 
     def test_failed_task_goes_elsewhere(self) -> None:
         """Guards against a task that fails again where it failed."""
         fleet = make_fleet(make_worker('w1'), make_worker('w2'))
-        job = add_job(self.book, 'j', make_step())
+        job = add_job(self.job_table, 'j', make_step())
         first_task(job).failed_workers.add(make_worker('w1').worker_id)
-        planned = _plan(self.book, fleet)
+        planned = _plan(self.job_table, fleet)
         self.assertEqual('w2', planned[0].worker_id)
 
     def test_data_rack(self) -> None:
         """Guards against a task that runs far from its data."""
         near = make_worker('w1', labels=('a', 'r2'))
         start_run(
-            self.book,
-            first_task(add_job(self.book, 'k', make_step())),
+            self.job_table,
+            first_task(add_job(self.job_table, 'k', make_step())),
             near,
         )
         fleet = make_fleet(make_worker('w2'), near)
-        add_job(self.book, 'j', make_step(2, data_rack='r2'))
-        planned = _plan(self.book, fleet)
+        add_job(self.job_table, 'j', make_step(2, data_rack='r2'))
+        planned = _plan(self.job_table, fleet)
         self.assertEqual({'w1'}, {run.worker_id for run in planned})
 
     def test_gang_is_whole_or_nothing(self) -> None:
         """Guards against a part of a gang that holds room and waits."""
-        small = Room(4_000, 9_000, 0)
+        small = Resources(4_000, 9_000, 0)
         fleet = make_fleet(
             make_worker('w1', capacity=small, labels=('a', 'r1')),
             make_worker('w2', capacity=small, labels=('a', 'r2')),
         )
         one_rack = make_step(3, is_gang=True, needs_one_rack=True)
-        add_job(self.book, 'j', one_rack)
-        self.assertFalse(_plan(self.book, fleet))
-        self.assertEqual(0, fleet.of_service('presses')[0].cpu_used)
-        add_job(self.book, 'k', make_step(3, is_gang=True))
-        self.assertEqual(3, len(_plan(self.book, fleet)))
+        add_job(self.job_table, 'j', one_rack)
+        self.assertFalse(_plan(self.job_table, fleet))
+        self.assertEqual(0, fleet.workers_of('presses')[0].reserved_millicores)
+        add_job(self.job_table, 'k', make_step(3, is_gang=True))
+        self.assertEqual(3, len(_plan(self.job_table, fleet)))
 
     def test_one_rack(self) -> None:
         """Guards against a step whose tasks run on two racks."""
@@ -161,10 +163,10 @@
                 for name, rack in zip('abcdef', ('r1', 'r2') * 3, strict=True)
             ),
         )
-        add_job(self.book, 'j', make_step(12, needs_one_rack=True))
+        add_job(self.job_table, 'j', make_step(12, needs_one_rack=True))
         racks = {
             fleet.workers[run.worker_id].listing.rack
-            for run in _plan(self.book, fleet)
+            for run in _plan(self.job_table, fleet)
         }
         self.assertEqual(1, len(racks))
 
@@ -174,20 +176,24 @@
 
     def test_least_slack_first(self) -> None:
         """Guards against a job that waits behind one with time to spare."""
-        book = JobBook()
-        fleet = make_fleet(make_worker('w1', capacity=Room(2_000, 9_000, 0)))
-        add_job(book, 'long', make_step(estimate_ms=5_000))
-        add_job(book, 'short', make_step(estimate_ms=300))
-        planned = _plan(book, fleet)
+        job_table = JobTable()
+        fleet = make_fleet(
+            make_worker('w1', capacity=Resources(2_000, 9_000, 0))
+        )
+        add_job(job_table, 'long', make_step(estimate_ms=5_000))
+        add_job(job_table, 'short', make_step(estimate_ms=300))
+        planned = _plan(job_table, fleet)
         self.assertEqual(['short.0.0.0'], [run.task.name for run in planned])
 
     def test_hopeless_last(self) -> None:
         """Guards against room for jobs that are late whatever is done."""
-        book = JobBook()
-        fleet = make_fleet(make_worker('w1', capacity=Room(2_000, 9_000, 0)))
-        add_job(book, 'hopeless', make_step(estimate_ms=1_000))
-        add_job(book, 'fresh', make_step(), accepted_at_ms=2_900)
-        planned = _plan(book, fleet, now_s=2.9)
+        job_table = JobTable()
+        fleet = make_fleet(
+            make_worker('w1', capacity=Resources(2_000, 9_000, 0))
+        )
+        add_job(job_table, 'hopeless', make_step(estimate_ms=1_000))
+        add_job(job_table, 'fresh', make_step(), accepted_at_ms=2_900)
+        planned = _plan(job_table, fleet, now_s=2.9)
         self.assertEqual(['fresh.0.0.0'], [run.task.name for run in planned])
 
     def test_waiting_steps_cost_little(self) -> None:
@@ -196,25 +202,25 @@
         Sixty steps wait for a full fleet; the workers may be looked at for
         a few of them only, and a smaller step still gets what is left.
         """
-        book = JobBook()
+        job_table = JobTable()
         workers = [
             _CountedWorker(make_worker(name).listing) for name in 'abcdefghij'
         ]
         fleet = make_fleet(*workers)
-        add_job(book, 'first', make_step(50, cpu_millicores=6_000))
+        add_job(job_table, 'first', make_step(50, cpu_millicores=6_000))
         for number in range(60):
             wide = make_step(5, cpu_millicores=6_000, estimate_ms=9_000)
-            add_job(book, f'wide{number}', wide)
-        add_job(book, 'small', make_step(5, estimate_ms=9_000))
-        names = {run.task.name for run in _plan(book, fleet)}
+            add_job(job_table, f'wide{number}', wide)
+        add_job(job_table, 'small', make_step(5, estimate_ms=9_000))
+        names = {run.task.name for run in _plan(job_table, fleet)}
         self.assertIn('small.0.0.0', names)
         looks_count = sum(worker.looks_count for worker in workers)
         self.assertLess(looks_count, 400)
 
     def test_tiers(self) -> None:
         """Guards against a job that counts as useless too early."""
-        book = JobBook()
-        job = add_job(book, 'j', make_step(estimate_ms=1_000))
+        job_table = JobTable()
+        job = add_job(job_table, 'j', make_step(estimate_ms=1_000))
         step = first_task(job).step
         tiers = [
             step_rank(step, QUEUE, now_ms=now_ms).tier
@@ -231,7 +237,7 @@
 
     def setUp(self) -> None:
         """Serve image ``s`` on w1 and image ``t`` on w2."""
-        self.book = JobBook()
+        self.job_table = JobTable()
         self.workers = [make_worker('w1'), make_worker('w2')]
         self.fleet = make_fleet(*self.workers)
         for worker, image in zip(self.workers, 'st', strict=True):
@@ -242,9 +248,9 @@
                 image=image,
                 target_tail_ms=18,
             )
-            job = add_job(self.book, f'serve-{image}', serving)
+            job = add_job(self.job_table, f'serve-{image}', serving)
             for task in job.occurrences[0].steps[0].tasks:
-                start_run(self.book, task, worker)
+                start_run(self.job_table, task, worker)
         self.model = InterferenceModel()
 
     def _teach(self, serving: str, factor: float) -> None:
@@ -253,8 +259,8 @@
         for _ in range(60):
             self.model.observe(
                 serving,
-                [Pressure('fill', 0.1)],
-                lost=rest - rest / factor,
+                [FillingLoad('fill', 0.1)],
+                lost_headroom=rest - rest / factor,
                 variance=0.05,
             )
 
@@ -263,8 +269,8 @@
         self._teach('s', 6)
         self._teach('t', 1)
         fills = make_step(3, cpu_millicores=3_000, image='fill', fills=True)
-        add_job(self.book, 'j', fills)
-        planned = _plan(self.book, self.fleet, model=self.model)
+        add_job(self.job_table, 'j', fills)
+        planned = _plan(self.job_table, self.fleet, model=self.model)
         self.assertEqual({'w2'}, {run.worker_id for run in planned})
 
     def test_waits_while_it_has_time(self) -> None:
@@ -272,12 +278,12 @@
         self._teach('s', 6)
         self._teach('t', 6)
         fills = make_step(2, cpu_millicores=3_000, image='fill', fills=True)
-        add_job(self.book, 'j', fills)
-        add_job(self.book, 'busy', make_step(4, cpu_millicores=6_000))
-        early = _plan(self.book, self.fleet, model=self.model)
+        add_job(self.job_table, 'j', fills)
+        add_job(self.job_table, 'busy', make_step(4, cpu_millicores=6_000))
+        early = _plan(self.job_table, self.fleet, model=self.model)
         names = {run.task.step.request.image for run in early}
         self.assertNotIn('fill', names)
-        late = _plan(self.book, self.fleet, now_s=1.9, model=self.model)
+        late = _plan(self.job_table, self.fleet, now_s=1.9, model=self.model)
         self.assertEqual(2, len(late))
         self.assertEqual(1, len({run.worker_id for run in late}))
 
@@ -296,8 +302,10 @@
                 image=image,
                 target_tail_ms=18,
             )
-            add_job(self.book, f'{image}{len(self.book.jobs)}', serving)
-        _plan(self.book, fleet)
+            add_job(
+                self.job_table, f'{image}{len(self.job_table.jobs)}', serving
+            )
+        _plan(self.job_table, fleet)
         for worker in workers:
             images = {run.step.image for run in worker.serving_runs()}
             self.assertLessEqual(len(images), 1)
@@ -311,24 +319,24 @@
         self._teach('s', 6)
         self._teach('t', 6)
         present = make_step(3, cpu_millicores=4_000, image='fill', fills=True)
-        job = add_job(self.book, 'present', present)
+        job = add_job(self.job_table, 'present', present)
         for task in job.occurrences[0].steps[0].tasks:
-            start_run(self.book, task, self.workers[0])
-        add_job(self.book, 'next', make_step(image='fill', fills=True))
-        self.assertFalse(_plan(self.book, self.fleet, model=self.model))
+            start_run(self.job_table, task, self.workers[0])
+        add_job(self.job_table, 'next', make_step(image='fill', fills=True))
+        self.assertFalse(_plan(self.job_table, self.fleet, model=self.model))
 
     def test_weights_are_learned(self) -> None:
         """Guards against a model that mixes up two causes."""
         for number in range(300):
             shares = (0.1, 0.02) if number % 2 else (0.02, 0.1)
             pressures = [
-                Pressure('heavy', shares[0]),
-                Pressure('light', shares[1]),
+                FillingLoad('heavy', shares[0]),
+                FillingLoad('light', shares[1]),
             ]
             self.model.observe(
                 's',
                 pressures,
-                lost=7 * shares[0] + 0.5 * shares[1],
+                lost_headroom=7 * shares[0] + 0.5 * shares[1],
                 variance=0.05,
             )
         self.assertAlmostEqual(7, self.model.weight('heavy', 's'), delta=0.7)
@@ -337,7 +345,9 @@
     def test_room_that_is_used(self) -> None:
         """Guards against filling work beyond the processors."""
         fills = make_step(40, cpu_millicores=3_000, image='x', fills=True)
-        add_job(self.book, 'j', fills)
-        _plan(self.book, self.fleet, now_s=1.9)
+        add_job(self.job_table, 'j', fills)
+        _plan(self.job_table, self.fleet, now_s=1.9)
         for worker in self.workers:
-            self.assertLessEqual(worker.fill_cpu, 32_000 - 0.45 * 16_000)
+            self.assertLessEqual(
+                worker.filling_millicores, 32_000 - 0.45 * 16_000
+            )
--- a/tools/planner_cost.py
+++ b/tools/planner_cost.py
@@ -14,13 +14,13 @@
 from marjoramwharf.ids import DataCentreId, JobId, WorkerId
 from marjoramwharf.scheduling.fleet import (
     Fleet,
-    Room,
+    Resources,
     Worker,
     WorkerListing,
     WorkerState,
 )
 from marjoramwharf.scheduling.interference import InterferenceModel
-from marjoramwharf.scheduling.job_book import JobBook
+from marjoramwharf.scheduling.job_table import JobTable
 from marjoramwharf.scheduling.job_state import Job, RunPhase
 from marjoramwharf.scheduling.planner import Planner
 from marjoramwharf.scheduling.policy import QueuePolicy
@@ -36,17 +36,17 @@
 def main() -> None:
     """Print the cost of placing a task for each size."""
     for size in _SIZES:
-        book = JobBook()
+        job_table = JobTable()
         fleet = Fleet({WorkerId(str(one)): _worker(one) for one in range(size)})
-        planner = Planner(book, fleet, InterferenceModel(), lambda _: None)
+        planner = Planner(job_table, fleet, InterferenceModel(), lambda _: None)
         for number in range(int(size * _SERVING_JOBS_SHARE)):
-            _add(book, f's{number}', _serving(number))
+            _add(job_table, f's{number}', _serving(number))
         _place(planner)
         for worker in fleet.workers.values():
             for run in worker.runs:
                 run.phase = RunPhase.RUNNING
         jobs = [
-            _add(book, f'f{number}', _filling(number))
+            _add(job_table, f'f{number}', _filling(number))
             for number in range(max(1, size // _WORKERS_PER_JOB))
         ]
         began_s = time.process_time()
@@ -67,7 +67,7 @@
         port=1,
         data_centre=DataCentreId('ruse'),
         state=WorkerState.READY,
-        capacity=Room(48_000 if number % 3 == 0 else 32_000, 128_000, 0),
+        capacity=Resources(48_000 if number % 3 == 0 else 32_000, 128_000, 0),
         labels=('a', f'r{number // 8}'),
     )
     return Worker(listing, is_reachable=True)
@@ -95,7 +95,7 @@
     )
 
 
-def _add(book: JobBook, name: str, step: StepRequest) -> Job:
+def _add(job_table: JobTable, name: str, step: StepRequest) -> Job:
     request = JobRequest(
         job_id=JobId(name.rjust(16, '0')),
         queue='q',
@@ -104,7 +104,7 @@
         steps=(step,),
         accepted_at_ms=0,
     )
-    return book.add(request, now_s=0, now_ms=0)
+    return job_table.add(request, now_s=0, now_ms=0)
 
 
 def _place(planner: Planner) -> int:
