--- a/src/marjoramwharf/scheduling/__init__.py
+++ b/src/marjoramwharf/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Queueing, refusing and placing of jobs: decisions without a network."""
+"""Scheduling decisions: queueing, placing, pacing and moving, without I/O."""
--- a/src/marjoramwharf/scheduling/baseline_headroom.py
+++ b/src/marjoramwharf/scheduling/baseline_headroom.py
@@ -1,13 +1,13 @@
-"""Forecast of the headroom that a serving job would have undisturbed.
+"""Forecast of the headroom that a serving job has without interference.
 
-Load answered: serving tasks whose own load rises and falls within seconds.
-All tasks of a job share its load, so each reading of any of them counts. What
-fills is best placed where the load is about to fall.
+Load answered: serving tasks whose load rises and falls within seconds. All
+tasks of a job share its load, so each reading of any of them counts. Filling
+tasks are best placed where the load is about to fall.
 
-    >>> load = BaselineHeadroom()
+    >>> headroom = BaselineHeadroom()
     >>> for second in range(10):
-    ...     load.observe(3 - second / 10, at_s=second, variance=0.01)
-    >>> round(load.forecast(at_s=10), 1)
+    ...     headroom.observe(3 - second / 10, at_s=second, variance=0.01)
+    >>> round(headroom.forecast(at_s=10), 1)
     2.0
 """
 
@@ -16,22 +16,22 @@
 import math
 from dataclasses import dataclass
 
-# Before any reading: the headroom of an undisturbed task, and the weight of
-# that guess in readings of variance 1.
+# Headroom expected before any reading, and its weight in readings of variance 1.
 _PRIOR_HEADROOM = 2.0
 _PRIOR_WEIGHT = 0.5
 
-# Readings lose their weight with this time constant.
-_MEMORY_S = 0.7
+# Time constant of the exponential decay of a reading's weight.
+_DECAY_TIME_S = 0.7
 
-# Inverse variance of the change of the headroom in a second.
-_SLOPE_WEIGHT = 10.0
+# Inverse variance of the slope, which is the headroom's change in a second,
+# before any reading.
+_PRIOR_SLOPE_WEIGHT = 10.0
 
-# A trend is followed for no longer than this.
-_LONGEST_TREND_S = 1.5
+# A forecast extends the slope for no longer than this.
+_MAX_TREND_S = 1.5
 
-# How far below and above all earlier levels a forecast may go.
-_BEYOND = 0.15
+# How far a forecast may go below and above all earlier levels.
+_FORECAST_MARGIN = 0.15
 
 
 @dataclass(slots=True)
@@ -58,8 +58,8 @@
         at_s: float,
         variance: float,
     ) -> None:
-        """Take in the undisturbed headroom that a reading points to."""
-        self._move_to(max(at_s, self._at_s))
+        """Add the headroom without interference that a reading implies."""
+        self._advance_to(max(at_s, self._at_s))
         weight = 1 / variance
         back_s = at_s - self._at_s
         self._weight += weight
@@ -67,41 +67,41 @@
         self._weight_square += weight * back_s * back_s
         self._weight_headroom += weight * headroom
         self._weight_time_headroom += weight * back_s * headroom
-        level, _ = self._line()
+        level, _ = self._fit_line()
         self._lowest = min(self._lowest, level)
         self._highest = max(self._highest, level)
 
     def forecast(self, *, at_s: float) -> float:
-        """Return the expected undisturbed headroom at a time."""
+        """Return the expected headroom without interference at a time."""
         if not self._weight:
             return _PRIOR_HEADROOM
-        level, slope = self._line()
-        ahead_s = min(at_s - self._at_s, _LONGEST_TREND_S)
+        level, slope = self._fit_line()
+        ahead_s = min(at_s - self._at_s, _MAX_TREND_S)
         expected = level + slope * ahead_s
-        lowest = self._lowest - _BEYOND
-        return min(max(expected, lowest), self._highest + _BEYOND)
+        lowest = self._lowest - _FORECAST_MARGIN
+        return min(max(expected, lowest), self._highest + _FORECAST_MARGIN)
 
-    def _move_to(self, at_s: float) -> None:
-        """Make the sums relative to a later time, and let them fade."""
+    def _advance_to(self, at_s: float) -> None:
+        """Make the sums relative to a later time, and decay them."""
         passed_s = at_s - self._at_s if self._weight else 0
-        fade = math.exp(-passed_s / _MEMORY_S)
+        decay = math.exp(-passed_s / _DECAY_TIME_S)
         time = self._weight_time
         self._weight_square += passed_s * (passed_s * self._weight - 2 * time)
         self._weight_time -= passed_s * self._weight
         self._weight_time_headroom -= passed_s * self._weight_headroom
-        self._weight *= fade
-        self._weight_time *= fade
-        self._weight_square *= fade
-        self._weight_headroom *= fade
-        self._weight_time_headroom *= fade
+        self._weight *= decay
+        self._weight_time *= decay
+        self._weight_square *= decay
+        self._weight_headroom *= decay
+        self._weight_time_headroom *= decay
         self._at_s = at_s
 
-    def _line(self) -> tuple[float, float]:
-        """Return the level at ``_at_s`` and its change in a second."""
+    def _fit_line(self) -> tuple[float, float]:
+        """Return the fitted headroom at ``_at_s`` and its slope."""
         weight = self._weight + _PRIOR_WEIGHT
         headroom = self._weight_headroom + _PRIOR_WEIGHT * _PRIOR_HEADROOM
         spread = self._weight_square - self._weight_time**2 / weight
-        common = self._weight_time_headroom
-        common -= self._weight_time * headroom / weight
-        slope = common / (spread + _SLOPE_WEIGHT)
+        covariance = self._weight_time_headroom
+        covariance -= self._weight_time * headroom / weight
+        slope = covariance / (spread + _PRIOR_SLOPE_WEIGHT)
         return (headroom - slope * self._weight_time) / weight, slope
--- a/src/marjoramwharf/scheduling/fleet.py
+++ b/src/marjoramwharf/scheduling/fleet.py
@@ -1,4 +1,4 @@
-"""The workers of a cell, as its owner sees them, and what is placed on them."""
+"""The workers of a cell as its owner sees them, and the runs placed there."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 if TYPE_CHECKING:
     from marjoramwharf.scheduling.headroom import ExpectedHeadroom
 
-# Share of its weight that the outcome of a run keeps after one second.
+# Factor by which the weight of an outcome of a run decays in one second.
 _OUTCOME_DECAY_PER_S = 0.85
 
-# Nothing is placed on a worker with more failures than this, and this many
-# times more failures than successes.
-_QUARANTINE_WEIGHT = 2.2
-_QUARANTINE_RATIO = 2.0
+# A worker gets no new runs while its failure weight is above this weight and
+# above this multiple of its success weight.
+_QUARANTINE_FAILURE_WEIGHT = 2.2
+_QUARANTINE_FAILURE_RATIO = 2.0
 
-# Bounds the time until a worker that failed everything is tried again: its
-# room may be needed, and two failures close it anew.
-_LARGEST_FAILURE_WEIGHT = 4.0
+# Bounds the time until a worker that failed every run is tried again: its
+# capacity may be needed, and two more failures quarantine it again.
+_MAX_FAILURE_WEIGHT = 4.0
 
 
 @enum.unique
 class WorkerState(enum.Enum):
-    """What the platform's list says of a worker."""
+    """State of a worker in the platform's list."""
 
     READY = 'ready'
     DRAINING = 'draining'
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resources:
-    """Processors in thousandths, memory in MB, and accelerators."""
+    """CPU in millicores, memory in MB, and a number of accelerators."""
 
     cpu_millicores: int = 0
     memory_mb: int = 0
@@ -49,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerListing:
-    """One worker of the platform's list.
+    """A worker as the platform's list describes it.
 
     ``born_ms`` is the wall-clock time of its start and tells its incarnations
-    apart. ``labels`` hold its kind and its rack; ``rack`` is the last one.
+    apart. ``labels`` hold its kind and, as the last one, its rack.
     ``remaining_ms`` is the least time that a draining worker has left.
     """
 
@@ -76,15 +76,17 @@
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """A worker with the runs that count against its room.
-
-    ``is_reachable`` says whether its latest look was answered. Nothing new is
-    placed before ``not_before_s``. ``failure_weight`` and ``success_weight``
-    are the decayed numbers of runs that failed and that were done there. A
-    draining worker may be gone from ``leaves_s`` on. The latest look was at
-    ``polled_s``. While the worker ``is_filling_paused``, what fills there is
-    held back and nothing that fills is added. ``headrooms`` and their key are
-    kept by :mod:`scheduling.headroom`.
+    """A worker and the runs that reserve its capacity.
+
+    ``is_reachable`` tells whether the latest poll of the worker was answered.
+    No run is placed there before ``not_before_s``, and preferably none before
+    ``suspect_until_s``. ``failure_weight`` and ``success_weight`` are the
+    numbers of runs that failed and that were done there, decayed over time. A
+    draining worker may be gone from ``leaves_s`` on. ``polled_s`` is the time
+    of the latest poll that was answered. While the worker
+    ``is_filling_paused``, its filling runs may be slowed or paused and none is
+    added. ``headrooms`` and their key are a cache of
+    :mod:`scheduling.headroom`, which a new ``version`` invalidates.
     """
 
     listing: WorkerListing
@@ -116,44 +118,44 @@
 
     @property
     def capacity(self) -> Resources:
-        """The whole room of the worker."""
+        """All resources of the worker, free or not."""
         return self.listing.capacity
 
     def add(self, run: Run) -> None:
-        """Count a run against the worker's room."""
+        """Reserve the resources of a run."""
         if run not in self.runs:
             self.runs.add(run)
-            self._count(run, 1)
+            self._adjust_reserved(run, 1)
 
     def remove(self, run: Run) -> None:
-        """Free the room of a run."""
+        """Release the resources of a run."""
         if run in self.runs:
             self.runs.discard(run)
-            self._count(run, -1)
+            self._adjust_reserved(run, -1)
 
     def runs_count_of(self, step: Step) -> int:
-        """Return how many runs of a step count against this worker."""
+        """Return how many runs of a step are placed on this worker."""
         return self.step_counts[id(step)]
 
     def record_outcome(self, *, has_failed: bool, now_s: float) -> None:
-        """Count a run that failed, or one that was done, on this worker."""
-        decay = self._decay(now_s)
+        """Add a run that failed or was done to the decayed weights."""
+        decay = self._decay_factor(now_s)
         failures = self.failure_weight * decay + has_failed
-        self.failure_weight = min(failures, _LARGEST_FAILURE_WEIGHT)
+        self.failure_weight = min(failures, _MAX_FAILURE_WEIGHT)
         self.success_weight = self.success_weight * decay + (not has_failed)
         self.outcome_recorded_s = now_s
 
     def failure_weight_at(self, now_s: float) -> float:
-        """Return the decayed number of failures."""
-        return self.failure_weight * self._decay(now_s)
+        """Return the failure weight, decayed until a time."""
+        return self.failure_weight * self._decay_factor(now_s)
 
     def is_quarantined(self, now_s: float) -> bool:
-        """Whether nearly everything has failed here lately."""
+        """Whether recent failures keep new runs off this worker."""
         failures = self.failure_weight_at(now_s)
-        successes = self.success_weight * self._decay(now_s)
+        successes = self.success_weight * self._decay_factor(now_s)
         return (
-            failures > _QUARANTINE_WEIGHT
-            and failures > _QUARANTINE_RATIO * successes
+            failures > _QUARANTINE_FAILURE_WEIGHT
+            and failures > _QUARANTINE_FAILURE_RATIO * successes
         )
 
     def is_usable(self, now_s: float) -> bool:
@@ -166,7 +168,10 @@
         )
 
     def has_resources_for(self, step: StepRequest) -> bool:
-        """Whether a task of a step fits beside what is placed here."""
+        """Whether the free resources suffice for a task of a step.
+
+        Filling tasks reserve no CPU, but none is added while they are paused.
+        """
         free_memory = self.capacity.memory_mb - self.reserved_memory_mb
         free_accelerators = (
             self.capacity.accelerators_count - self.reserved_accelerators_count
@@ -182,35 +187,35 @@
         )
 
     def could_ever_run(self, step: StepRequest) -> bool:
-        """Whether an empty worker of this kind could run a task of a step."""
-        room = self.capacity
+        """Whether this worker, if it were empty, could run a task of a step."""
+        capacity = self.capacity
         if step.required_label and step.required_label not in (
             self.listing.labels
         ):
             return False
         return (
-            step.memory_mb <= room.memory_mb
-            and step.accelerators_count <= room.accelerators_count
-            and (step.fills or step.cpu_millicores <= room.cpu_millicores)
+            step.memory_mb <= capacity.memory_mb
+            and step.accelerators_count <= capacity.accelerators_count
+            and (step.fills or step.cpu_millicores <= capacity.cpu_millicores)
         )
 
     def serving_runs(self) -> Iterator[Run]:
-        """Return the runs with a tail latency to keep."""
+        """Return the runs that have a target for their tail latency."""
         return (run for run in self.runs if run.step.target_tail_ms)
 
     def filling_runs(self) -> Iterator[Run]:
-        """Return the runs that take what the others leave unused."""
+        """Return the runs that use the CPU that the others leave unused."""
         return (run for run in self.runs if run.step.fills)
 
-    def _decay(self, now_s: float) -> float:
+    def _decay_factor(self, now_s: float) -> float:
         passed_s = max(0, now_s - self.outcome_recorded_s)
         return math.pow(_OUTCOME_DECAY_PER_S, passed_s)
 
     def mark_changed(self) -> None:
-        """Note that readings or runs have changed."""
+        """Increment the version after a change of readings or runs."""
         self.version += 1
 
-    def _count(self, run: Run, sign: int) -> None:
+    def _adjust_reserved(self, run: Run, sign: int) -> None:
         self.mark_changed()
         step = run.step
         self.reserved_memory_mb += sign * step.memory_mb
@@ -221,9 +226,9 @@
             self.reserved_millicores += sign * step.cpu_millicores
         if step.target_tail_ms:
             self.serving_millicores += sign * step.cpu_millicores
-        self._count_step(run, sign)
+        self._adjust_step_count(run, sign)
 
-    def _count_step(self, run: Run, sign: int) -> None:
+    def _adjust_step_count(self, run: Run, sign: int) -> None:
         key = id(run.task.step)
         self.step_counts[key] += sign
         if not self.step_counts[key]:
@@ -245,13 +250,13 @@
         ]
 
     def reserve(self, run: Run) -> None:
-        """Count a run against its worker, if that is known."""
+        """Reserve the resources of a run on its worker, if that is listed."""
         worker = self.workers.get(run.worker_id)
         if worker is not None:
             worker.add(run)
 
     def release(self, run: Run) -> None:
-        """Free what a run held."""
+        """Release the resources of a run on its worker, if that is listed."""
         worker = self.workers.get(run.worker_id)
         if worker is not None:
             worker.remove(run)
--- a/src/marjoramwharf/scheduling/headroom.py
+++ b/src/marjoramwharf/scheduling/headroom.py
@@ -1,7 +1,8 @@
-"""Expected headroom of the serving tasks on a worker, and what spoils them.
+"""Expected headroom of serving tasks, and the harm of one more filling task.
 
-Load answered: filling tasks that can only go beside serving ones. Places are
-compared by how many serving jobs a task is expected to spoil there.
+Load answered: filling tasks that can only run beside serving ones. Workers are
+compared by harm, which is the number of serving jobs that are expected to be
+lost because too many of their tasks are over their latency target.
 """
 
 from __future__ import annotations
@@ -11,46 +12,47 @@
 
 from marjoramwharf.scheduling.fleet import Worker
 from marjoramwharf.scheduling.interference import (
-    InterferenceModel,
-    HeadroomLoss,
     FillingLoad,
+    HeadroomLoss,
+    InterferenceModel,
 )
 from marjoramwharf.scheduling.job_state import Run, Step
 from marjoramwharf.scheduling.workload import StepRequest
 
 _FULL_PERCENT = 100
 
-# A filling task works for a second or two, so the forecast has to hold from
-# soon after its start until then.
-_SOON_S = 0.4
-_LATER_S = 1.4
+# A filling task runs for a second or two, so the least headroom between soon
+# after its start and its end counts.
+_FORECAST_START_S = 0.4
+_FORECAST_END_S = 1.4
 
-# Expectations are kept for so long.
-_KEPT_PER_S = 4
+# Expected headrooms are cached until the next of these periods begins.
+_CACHE_PERIODS_PER_S = 4
 
-# Variance of a headroom besides that of what disturbs it, and the ratio of
-# the scale of the logistic distribution to a standard deviation.
-_OWN_VARIANCE = 0.06
+# Variance of a headroom without interference, and the ratio of the scale of a
+# logistic distribution to its standard deviation.
+_BASELINE_VARIANCE = 0.06
 _LOGISTIC_SCALE = 0.55
 
-# Tasks over their target count this many times against their job.
-_HARM_WEIGHT = 4
+# A task over its target costs this many times its share of the job, so a job
+# is lost once a quarter of its tasks are over their target.
+_OVER_TARGET_WEIGHT = 4
 
-# The part of its time that a filling task is expected to spend beside the
-# present ones.
-_BESIDE_SHARE = 0.5
+# Share of its run time that a filling task is expected to spend beside the
+# filling tasks that run on the worker now.
+_PRESENT_LOADS_SHARE = 0.5
 
-# A loss of headroom below this spoils nothing.
-_LEAST_LOSS = 0.03
+# A loss of headroom below this counts as no harm.
+_MIN_LOSS = 0.03
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectedHeadroom:
-    """What is expected of the tasks of one serving step on a worker.
+    """Expected headroom of the tasks of one serving step on a worker.
 
-    ``baseline`` is the headroom without, and ``headroom`` that with the present
-    filling tasks, with which ``over_target_count`` of the ``count`` tasks are
-    expected to be over their target.
+    ``baseline`` is the headroom without any filling tasks, ``headroom`` that
+    beside the present ones. Beside these, ``over_target_count`` of the
+    ``count`` tasks are expected to be over their target.
     """
 
     step: Step
@@ -62,20 +64,20 @@
 
 
 def filling_load_of(run: Run, worker: Worker) -> FillingLoad:
-    """Return the share of a worker that a filling run takes at its pace."""
+    """Return the load of a filling run at its present pace."""
     share = cpu_share_of(run, worker, run.pace_percent)
     return FillingLoad(run.step.image, share)
 
 
 def cpu_share_of(run: Run, worker: Worker, percent: int) -> float:
-    """Return the share of a worker that a run takes at a pace."""
+    """Return the share of a worker's CPU that a run uses at a pace."""
     whole = max(1, worker.capacity.cpu_millicores)
     return run.step.cpu_millicores / whole * percent / _FULL_PERCENT
 
 
 def over_target_probability(headroom: float, variance: float) -> float:
-    """Return the chance that a task of this headroom is over its target."""
-    scale = _LOGISTIC_SCALE * math.sqrt(_OWN_VARIANCE + variance)
+    """Return the probability that a task is over its latency target."""
+    scale = _LOGISTIC_SCALE * math.sqrt(_BASELINE_VARIANCE + variance)
     return 1 / (1 + math.exp(min(50, (headroom - 1) / scale)))
 
 
@@ -85,15 +87,16 @@
     *,
     now_s: float,
 ) -> tuple[ExpectedHeadroom, ...]:
-    """Return the headrooms beside the present filling tasks.
+    """Return the expected headroom of each serving step on a worker.
 
-    The result is kept for a moment, or until something changes there.
+    The result is cached for at most a quarter of a second, and until readings
+    or runs of the worker change.
     """
-    key = (worker.version, int(now_s * _KEPT_PER_S))
+    key = (worker.version, int(now_s * _CACHE_PERIODS_PER_S))
     if worker.headrooms_key != key:
         for old in worker.headrooms:
             old.step.over_target_counts.pop(worker.worker_id, None)
-        worker.headrooms = _expected_headrooms(worker, model, now_s)
+        worker.headrooms = _compute_headrooms(worker, model, now_s)
         worker.headrooms_key = key
         for new in worker.headrooms:
             new.step.over_target_counts[worker.worker_id] = (
@@ -110,88 +113,93 @@
     now_s: float,
     job_millicores: float,
 ) -> float:
-    """Return how many serving jobs a filling task is expected to spoil.
+    """Return how many serving jobs a filling task is expected to cost.
 
     A job is worth nothing once a fraction of its tasks are over their target,
-    so what disturbs costs least where jobs are spoilt already. That only holds
-    until the present filling tasks end, so it counts for a part. ``job_millicores``
-    is the size of a usual serving job in millicores.
+    so interference costs least where jobs are lost already. That only holds
+    until the present filling tasks end, so it counts for a part of the time.
+    ``job_millicores`` is the mean size of a serving job.
     """
     share = request.cpu_millicores / max(1, worker.capacity.cpu_millicores)
-    pressure = FillingLoad(request.image, share)
+    load = FillingLoad(request.image, share)
     harm: float = 0
-    for known in expected_headrooms(worker, model, now_s=now_s):
-        loss = model.expected_loss(known.step.request.image, (pressure,))
-        if loss.headroom > _LEAST_LOSS:
-            beside = _worth_lost(
-                known.step,
-                _more_spoilt(known, loss, known.headroom, known.variance),
-                sum(known.step.over_target_counts.values()),
+    for expected in expected_headrooms(worker, model, now_s=now_s):
+        loss = model.expected_loss(expected.step.request.image, (load,))
+        if loss.headroom > _MIN_LOSS:
+            harm_beside = _lost_jobs(
+                expected.step,
+                _added_over_target_count(
+                    expected, loss, expected.headroom, expected.variance
+                ),
+                sum(expected.step.over_target_counts.values()),
                 job_millicores,
             )
-            alone = _worth_lost(
-                known.step,
-                _more_spoilt(known, loss, known.baseline, 0),
+            harm_alone = _lost_jobs(
+                expected.step,
+                _added_over_target_count(expected, loss, expected.baseline, 0),
                 0,
                 job_millicores,
             )
-            harm += _BESIDE_SHARE * beside + (1 - _BESIDE_SHARE) * alone
+            harm += (
+                _PRESENT_LOADS_SHARE * harm_beside
+                + (1 - _PRESENT_LOADS_SHARE) * harm_alone
+            )
     return harm
 
 
-def _more_spoilt(
-    known: ExpectedHeadroom,
+def _added_over_target_count(
+    expected: ExpectedHeadroom,
     loss: HeadroomLoss,
     headroom: float,
     variance: float,
 ) -> float:
-    """Return how many more tasks a loss of headroom is expected to spoil."""
+    """Return how many more tasks a loss puts over their target."""
     before = over_target_probability(headroom, variance)
     after = over_target_probability(
         headroom - loss.headroom, variance + loss.variance
     )
-    return known.count * max(0, after - before)
+    return expected.count * max(0, after - before)
 
 
-def _worth_lost(
+def _lost_jobs(
     step: Step,
-    more: float,
+    added_count: float,
     before: float,
     job_millicores: float,
 ) -> float:
-    """Return the part of a usual job that more spoilt tasks cost.
+    """Return the harm, in jobs of mean size, of more tasks over their target.
 
-    A large job meets disturbance on more workers, so it counts more than in
-    proportion to its size.
+    ``before`` tasks are over it already. A large job meets interference on
+    more workers, so it counts more than in proportion to its size.
     """
-    per_task = _HARM_WEIGHT / step.request.count
-    lost = min(1, (before + more) * per_task) - min(1, before * per_task)
+    per_task = _OVER_TARGET_WEIGHT / step.request.count
+    lost = min(1, (before + added_count) * per_task) - min(1, before * per_task)
     size = step.request.count * step.request.cpu_millicores / job_millicores
     return lost * size * max(1, size)
 
 
-def _expected_headrooms(
+def _compute_headrooms(
     worker: Worker,
     model: InterferenceModel,
     now_s: float,
 ) -> tuple[ExpectedHeadroom, ...]:
-    pressures = [filling_load_of(run, worker) for run in worker.filling_runs()]
+    loads = [filling_load_of(run, worker) for run in worker.filling_runs()]
     counts: dict[Step, int] = {}
     for run in worker.serving_runs():
         step = run.task.step
         counts[step] = counts.get(step, 0) + 1
-    found: list[ExpectedHeadroom] = []
+    headrooms: list[ExpectedHeadroom] = []
     for step, count in counts.items():
-        loss = model.expected_loss(step.request.image, pressures)
+        loss = model.expected_loss(step.request.image, loads)
         baseline = min(
-            step.baseline_headroom.forecast(at_s=now_s + _SOON_S),
-            step.baseline_headroom.forecast(at_s=now_s + _LATER_S),
+            step.baseline_headroom.forecast(at_s=now_s + _FORECAST_START_S),
+            step.baseline_headroom.forecast(at_s=now_s + _FORECAST_END_S),
         )
         headroom = baseline - loss.headroom
         over_target_count = count * over_target_probability(
             headroom, loss.variance
         )
-        found.append(
+        headrooms.append(
             ExpectedHeadroom(
                 step,
                 count,
@@ -201,4 +209,4 @@
                 over_target_count,
             ),
         )
-    return tuple(found)
+    return tuple(headrooms)
--- a/src/marjoramwharf/scheduling/job_state.py
+++ b/src/marjoramwharf/scheduling/job_state.py
@@ -1,8 +1,8 @@
-"""State of the jobs that a cell owns: tasks, their runs, and what may start.
+"""State of the jobs that a cell owns: their steps, tasks and runs.
 
 A *run* is one start of a task at one worker. Its number rises with each start
 of the task, so that a worker can tell a late order from a new one. The state
-here is what the owner believes; ``cells`` stores it before it acts on it.
+here is the owner's view of it; ``cells`` stores it before acting on it.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 @enum.unique
 class RunPhase(enum.Enum):
-    """How far a run has come.
+    """Phase in the life of a run.
 
-    ``PLANNED`` runs are not stored yet and no order was sent. An ``ORDERED``
-    run may have started. ``UNCERTAIN`` runs were found in the store by a new
-    owner that hasn't heard from their worker yet.
+    A ``PLANNED`` run isn't stored yet and no order to start it was sent. An
+    ``ORDERED`` run may have started. An ``UNCERTAIN`` run was found in the
+    store by a new owner that hasn't heard from its worker yet.
     """
 
     PLANNED = 'planned'
@@ -42,8 +42,9 @@
 class RunEnd(enum.Enum):
     """How a run ended.
 
-    ``FAILED`` is the only end that counts as an attempt. ``VANISHED`` means
-    that the run never started or ended with its worker.
+    ``FAILED`` is the only end that counts as an attempt. ``LAPSED`` runs ended
+    with their lease. ``VANISHED`` runs never started or ended with their
+    worker.
     """
 
     DONE = 'done'
@@ -57,7 +58,7 @@
 
 @enum.unique
 class JobPhase(enum.IntEnum):
-    """State of a job; the values are stored."""
+    """Phase in the life of a job; the values are stored."""
 
     OPEN = 0
     DONE = 1
@@ -70,13 +71,14 @@
     """One start of a task at a worker.
 
     ``percent`` is the progress that the worker reports, ``resumed_percent``
-    the first one, and ``progressed_s`` the last time at which it changed; it was
-    read at ``progress_read_s``. ``pace_percent`` is the share of its speed at which it
-    may work, and ``pace_changed_s`` the last time at which that was changed.
-    ``reading`` is the tail latency in ms of a task that serves, and the
-    processors in use (millicores) of any other. The run may be ordered once
-    ``planned_version`` of its job is stored. It ``is_listed`` once its worker
-    has listed it, and ``is_start_unconfirmed`` when an order to start it got no answer.
+    the first one reported, ``progressed_s`` the time at which it last changed,
+    and ``progress_read_s`` that at which it was last read. ``pace_percent`` is
+    the share of its full speed at which the run may work, last changed at
+    ``pace_changed_s``. ``reading`` is the tail latency of a serving task in
+    ms, and the CPU in use by any other in millicores. ``saved`` is the latest
+    checkpoint. The run may be ordered once ``planned_version`` of its job is
+    stored. It ``is_listed`` once its worker has listed it, and its start
+    ``is_start_unconfirmed`` once an order to start it got no answer.
     """
 
     task: Task
@@ -102,13 +104,13 @@
 
     @property
     def step(self) -> StepRequest:
-        """The step that the run's task belongs to."""
+        """The request of the step that the run's task belongs to."""
         return self.task.step.request
 
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """One task and its live runs by number."""
+    """A task of a step and its live runs by number."""
 
     step: Step
     index: int
@@ -133,11 +135,12 @@
 class Step:
     """The tasks of one step in one occurrence.
 
-    ``critical_path_ms`` is the estimated time from the start of the step to the end
-    of the longest chain of steps that it begins. ``ended_progress_rates`` are the
-    percentages per second of the runs that ended done. ``baseline_headroom`` forecasts
-    the tails of a serving step, of whose tasks ``over_target_counts`` tells by
-    worker how many are expected to be over their target.
+    ``critical_path_ms`` is the estimated time from the start of the step to
+    the end of the longest chain of steps that it begins.
+    ``ended_progress_rates`` are the percentages per second of the runs that
+    ended done. ``baseline_headroom`` forecasts the headroom of a serving step;
+    ``over_target_counts`` tells by worker how many of its tasks are expected
+    to be over their target.
     """
 
     occurrence: Occurrence
@@ -154,19 +157,19 @@
 
     @property
     def is_done(self) -> bool:
-        """Whether all tasks have ended done."""
+        """Whether all tasks of the step are done."""
         return self.done_count == len(self.tasks)
 
     @property
     def is_open(self) -> bool:
-        """Whether all steps that this one comes after are done."""
+        """Whether all steps that this one depends on are done."""
         steps = self.occurrence.steps
         return all(steps[before].is_done for before in self.request.after)
 
 
 @dataclass(slots=True, eq=False)
 class Occurrence:
-    """One pass through the steps of a job."""
+    """One execution of the steps of a job, which may repeat."""
 
     job: Job
     number: int
@@ -191,9 +194,10 @@
     """A job that this cell owns.
 
     ``version`` grows with each change that has to be stored, and
-    ``stored_version`` is the latest one that is. ``stored_phase`` is the state
+    ``stored_version`` is the latest stored one. ``stored_phase`` is the phase
     of the job in the store, which is what callers are told. A change
-    ``is_urgent`` if something waits until it is stored.
+    ``is_urgent`` if an order or a caller waits until it is stored.
+    ``known_since_s`` is the time at which this owner took the job in.
     """
 
     request: JobRequest
@@ -220,23 +224,23 @@
         return self.phase is JobPhase.OPEN
 
     def mark_changed(self, *, is_urgent: bool) -> None:
-        """Note a change that has to be stored."""
+        """Increment the version after a change that has to be stored."""
         self.version += 1
         self.is_urgent = self.is_urgent or is_urgent
 
     def open_occurrence(self, number: int) -> Occurrence:
-        """Create the steps and tasks of one occurrence."""
+        """Create an occurrence with its steps and tasks."""
         occurrence = Occurrence(self, number, self.request.due_ms(number))
-        chains_ms = critical_paths_ms(self.request.steps)
+        paths_ms = critical_paths_ms(self.request.steps)
         for step_number, request in enumerate(self.request.steps):
             step = Step(
                 occurrence,
                 step_number,
                 request,
-                chains_ms[step_number],
+                paths_ms[step_number],
             )
             step.tasks = [
-                Task(step, index, self._name(number, step_number, index))
+                Task(step, index, self._task_name(number, step_number, index))
                 for index in range(request.count)
             ]
             occurrence.steps.append(step)
@@ -263,7 +267,7 @@
         tasks = found.steps[step].tasks
         return tasks[index] if 0 <= index < len(tasks) else None
 
-    def _name(self, occurrence: int, step: int, index: int) -> TaskId:
+    def _task_name(self, occurrence: int, step: int, index: int) -> TaskId:
         return task_name(
             self.job_id,
             occurrence=occurrence,
--- a/src/marjoramwharf/scheduling/job_table.py
+++ b/src/marjoramwharf/scheduling/job_table.py
@@ -1,6 +1,6 @@
-"""All jobs of a cell, and the changes that orders and ends make to them.
+"""All jobs of a cell, and the state changes that orders and ends make to them.
 
-The book decides nothing about when or where a task runs. Every change that
+The table decides nothing about when or where a task runs. Every change that
 has to outlive the process marks its job in ``unstored``.
 """
 
@@ -22,20 +22,21 @@
 )
 from marjoramwharf.scheduling.workload import JobRequest
 
-# A task may start this much before its due time; it is below the tolerance
-# that callers of scheduled jobs are promised.
+# A task may start this much before its due time; this has to be below the
+# tolerance that callers of scheduled jobs are promised.
 _EARLY_START_MS = 0
 
 _FULL_PERCENT = 100
-_LEAST_RUN_S = 0.01
+_MIN_RUN_S = 0.01
 
 
 @dataclass(slots=True)
 class JobTable:
     """Jobs by id, with the tasks that may start now.
 
-    ``ready`` keeps the order in which tasks became ready. A plan and the end
-    of a job are urgent to store, since an order or a caller waits for them.
+    ``ready`` keeps the order in which tasks became ready. A planned run and
+    the end of a job are urgent to store, since an order or a caller waits for
+    them.
     """
 
     jobs: dict[JobId, Job] = field(default_factory=dict)
@@ -44,10 +45,10 @@
     _repeating: dict[JobId, Job] = field(default_factory=dict)
 
     def add(self, request: JobRequest, *, now_s: float, now_ms: int) -> Job:
-        """Take a job in; a repeat returns the known one."""
-        known = self.jobs.get(request.job_id)
-        if known is not None:
-            return known
+        """Add a job, or return the present one of the same id."""
+        present = self.jobs.get(request.job_id)
+        if present is not None:
+            return present
         job = Job(request, known_since_s=now_s)
         self.jobs[job.job_id] = job
         if request.repeat_count:
@@ -58,7 +59,7 @@
         return job
 
     def add_restored(self, job: Job, *, now_s: float, now_ms: int) -> None:
-        """Take in a job whose state was read from the store."""
+        """Add a job whose state was read from the store."""
         self.jobs[job.job_id] = job
         if not job.is_open:
             return
@@ -66,15 +67,15 @@
             self._repeating[job.job_id] = job
         for occurrence in job.occurrences.values():
             occurrence.is_due = now_ms + _EARLY_START_MS >= occurrence.due_ms
-            self._refresh(occurrence, now_s)
+            self._update_ready(occurrence, now_s)
 
     def open_due_occurrences(self, *, now_s: float, now_ms: int) -> None:
-        """Open the occurrences whose time has come."""
+        """Open the occurrences of repeating jobs that are due."""
         for job in tuple(self._repeating.values()):
             self._open_due(job, now_s, now_ms)
 
     def next_due_ms(self) -> int | None:
-        """Return the time at which the next occurrence opens."""
+        """Return the time at which the next occurrence is due, if any."""
         return min(
             (
                 job.request.due_ms(job.next_occurrence)
@@ -92,7 +93,7 @@
         number: int,
         now_s: float,
     ) -> Run:
-        """Plan a run of a task; it is ordered once it is stored."""
+        """Add a planned run of a task; it is ordered once it is stored."""
         run = Run(
             task=task,
             number=number,
@@ -107,12 +108,12 @@
         task.last_run = max(task.last_run, number)
         self.ready.pop(task.name, None)
         job = job_of(task)
-        self._changed(job, is_urgent=True)
+        self._mark_changed(job, is_urgent=True)
         run.planned_version = job.version
         return run
 
     def mark_started(self, run: Run, *, now_s: float) -> None:
-        """Note that a worker has begun a run."""
+        """Record that a worker has begun a run."""
         if run.phase in {RunPhase.ORDERED, RunPhase.UNCERTAIN}:
             run.phase = RunPhase.RUNNING
         if run.started_s is None:
@@ -122,7 +123,7 @@
         job = job_of(run.task)
         if not job.has_begun:
             job.has_begun = True
-            self._changed(job)
+            self._mark_changed(job)
 
     def end_run(
         self,
@@ -133,25 +134,25 @@
         max_attempts: int,
         now_s: float,
     ) -> None:
-        """Take in the end of a run; ``saved`` is its checkpoint, if any."""
+        """Record the end of a run; ``saved`` is its checkpoint, if any."""
         task = run.task
         task.runs.pop(run.number, None)
         run.phase = RunPhase.ENDED
         job = job_of(task)
         if saved:
-            self._save(task, saved)
+            self._save_checkpoint(task, saved)
         if how is RunEnd.DONE:
-            _note_pace(run, now_s)
+            _record_progress_rate(run, now_s)
         if how is RunEnd.DONE and not task.step.request.is_lasting:
-            self._complete(task)
+            self._mark_done(task)
         elif how is RunEnd.FAILED:
             task.failed_workers.add(run.worker_id)
             self._count_failure(task, max_attempts)
-        self._changed(job)
-        self._settle(job, task.step, now_s)
+        self._mark_changed(job)
+        self._advance_job(job, task.step, now_s)
 
     def cancel(self, job_id: JobId, *, now_s: float) -> Job | None:
-        """Cancel a job; its live runs are still to be stopped."""
+        """Cancel a job; the caller still has to stop its live runs."""
         job = self.jobs.get(job_id)
         if job is None or not job.is_open:
             return job
@@ -159,17 +160,17 @@
         return job
 
     def fail(self, job: Job, *, now_s: float) -> None:
-        """Give a job up after the last attempt of a task."""
+        """Mark a job as failed, after the last attempt of a task."""
         self._finish(job, JobPhase.FAILED, now_s)
 
     def forget(self, job_id: JobId) -> None:
-        """Drop a finished job."""
+        """Remove a finished job."""
         self.jobs.pop(job_id, None)
         self._repeating.pop(job_id, None)
         self.unstored.pop(job_id, None)
 
     def waiting_count(self, queue: str) -> int:
-        """Return the accepted jobs of a queue that have not begun."""
+        """Return the number of accepted jobs of a queue that have not begun."""
         return sum(
             1
             for job in self.jobs.values()
@@ -182,7 +183,7 @@
         return None if task is None else task.runs.get(number)
 
     def find_task(self, name: TaskId) -> Task | None:
-        """Return a task by its name, ``None`` if it isn't known."""
+        """Return a task by its name, ``None`` if there is none."""
         job_id, _, rest = name.partition('.')
         job = self.jobs.get(JobId(job_id))
         numbers = rest.split('.')
@@ -199,7 +200,7 @@
             yield from job.live_runs()
 
     def surplus_runs(self, job: Job) -> list[Run]:
-        """Return the runs of a job that are no longer of use."""
+        """Return the live runs of a finished job or of tasks that are done."""
         return [
             run
             for run in job.live_runs()
@@ -218,14 +219,14 @@
     def _open(self, job: Job, number: int, now_s: float, now_ms: int) -> None:
         occurrence = job.open_occurrence(number)
         occurrence.is_due = now_ms + _EARLY_START_MS >= occurrence.due_ms
-        self._refresh(occurrence, now_s)
-        self._changed(job)
+        self._update_ready(occurrence, now_s)
+        self._mark_changed(job)
 
-    def _save(self, task: Task, saved: str) -> None:
+    def _save_checkpoint(self, task: Task, saved: str) -> None:
         for member in gang_of(task):
             member.checkpoint = saved
 
-    def _complete(self, task: Task) -> None:
+    def _mark_done(self, task: Task) -> None:
         for member in gang_of(task):
             if not member.is_done:
                 member.is_done = True
@@ -240,21 +241,21 @@
         if exhausted and not task.step.request.is_lasting and job.is_open:
             job.phase = JobPhase.FAILED
 
-    def _settle(self, job: Job, step: Step, now_s: float) -> None:
-        """Open what the end of a run allows, or finish the job."""
+    def _advance_job(self, job: Job, step: Step, now_s: float) -> None:
+        """Update the ready tasks after the end of a run, or finish the job."""
         if job.phase is JobPhase.FAILED:
             self._finish(job, JobPhase.FAILED, now_s)
-        self._drop_ended(job)
+        self._remove_ended(job)
         if not job.is_open:
             return
-        self._refresh(step.occurrence, now_s)
+        self._update_ready(step.occurrence, now_s)
         total = job.request.occurrences_count
         all_done = all(found.is_done for found in job.occurrences.values())
         if all_done and job.next_occurrence >= total:
             self._finish(job, JobPhase.DONE, now_s)
 
-    def _drop_ended(self, job: Job) -> None:
-        """Drop the occurrences of which nothing runs or may start."""
+    def _remove_ended(self, job: Job) -> None:
+        """Remove the occurrences of which nothing runs or may start."""
         for number, occurrence in tuple(job.occurrences.items()):
             is_over = occurrence.is_done or not job.is_open
             if is_over and next(occurrence.live_runs(), None) is None:
@@ -266,11 +267,11 @@
         self._repeating.pop(job.job_id, None)
         for task in job.tasks():
             self.ready.pop(task.name, None)
-        self._drop_ended(job)
-        self._changed(job, is_urgent=True)
+        self._remove_ended(job)
+        self._mark_changed(job, is_urgent=True)
 
-    def _refresh(self, occurrence: Occurrence, now_s: float) -> None:
-        """Add the tasks of an occurrence that may start to ``ready``."""
+    def _update_ready(self, occurrence: Occurrence, now_s: float) -> None:
+        """Add the tasks of an occurrence that may start now to ``ready``."""
         if not occurrence.is_due:
             return
         for step in occurrence.steps:
@@ -286,14 +287,14 @@
                 task.ready_since_s = now_s
                 self.ready[task.name] = task
 
-    def _changed(self, job: Job, *, is_urgent: bool = False) -> None:
+    def _mark_changed(self, job: Job, *, is_urgent: bool = False) -> None:
         job.mark_changed(is_urgent=is_urgent)
         self.unstored[job.job_id] = job
 
 
-def _note_pace(run: Run, now_s: float) -> None:
+def _record_progress_rate(run: Run, now_s: float) -> None:
     if run.started_s is not None:
-        elapsed_s = max(now_s - run.started_s, _LEAST_RUN_S)
+        elapsed_s = max(now_s - run.started_s, _MIN_RUN_S)
         done = _FULL_PERCENT - run.resumed_percent
         run.task.step.ended_progress_rates.append(done / elapsed_s)
 
--- a/src/marjoramwharf/scheduling/ordering.py
+++ b/src/marjoramwharf/scheduling/ordering.py
@@ -1,8 +1,8 @@
 """The order in which waiting steps are placed.
 
-Load answered: bursts in which more work waits than there is room for. What
-can still meet its objective goes first, by the time that it has left; what
-can no longer earn anything goes last.
+Load answered: bursts in which more work waits than fits on the workers. Steps
+of jobs that can still meet their objective are placed first, by slack; jobs
+that are too late to be of any use come last.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from marjoramwharf.scheduling.job_table import job_of
 from marjoramwharf.scheduling.job_state import Step, Task
+from marjoramwharf.scheduling.job_table import job_of
 from marjoramwharf.scheduling.policy import QueuePolicy
 
-# A job that takes longer than this many objectives is of no more use.
-_USEFUL_OBJECTIVES = 3
+# A job that takes longer than this many times its objective is of no use.
+_MAX_USEFUL_OBJECTIVES = 3
 
-# Estimates are rough: a chain may turn out shorter by this share.
-_ESTIMATE_SLACK_SHARE = 0.4
+# Estimates are rough: a critical path may turn out shorter by this share.
+_ESTIMATE_ERROR_SHARE = 0.4
 
 
 @enum.unique
 class Tier(enum.IntEnum):
-    """What a waiting job can still be worth; lower goes first."""
+    """Whether a waiting job can be on time; lower values go first."""
 
     ON_TIME = 0
     LATE = 1
@@ -32,10 +32,10 @@
 
 
 class Rank(NamedTuple):
-    """Place of a step among those that wait; lower goes first.
+    """Sort key of a waiting step; lower goes first.
 
-    ``slack_ms`` is the time that the step can wait and still meet the
-    objective of its job.
+    ``slack_ms`` is the time that the step can still wait without missing the
+    objective of its job. ``since_ms`` is the time since which the job waits.
     """
 
     tier: Tier
@@ -45,7 +45,7 @@
 
 
 def group_by_step(tasks: list[Task]) -> list[list[Task]]:
-    """Return tasks in groups of one step, in the given order."""
+    """Group tasks by step, in the given order."""
     groups: dict[int, list[Task]] = {}
     for task in tasks:
         groups.setdefault(id(task.step), []).append(task)
@@ -53,7 +53,7 @@
 
 
 def objective_ms(step: Step, queue: QueuePolicy) -> float:
-    """Return the time that a job may take, from its acceptance."""
+    """Return how long a step's job may take from its acceptance."""
     critical_path_ms = max(
         other.critical_path_ms for other in step.occurrence.steps
     )
@@ -61,10 +61,10 @@
 
 
 def step_rank(step: Step, queue: QueuePolicy, *, now_ms: int) -> Rank:
-    """Return the place of a step among those that wait.
+    """Return the sort key of a waiting step.
 
-    A job that can hardly meet its objective any more lets those go first
-    that can.
+    Jobs that can hardly meet their objective any more come after those that
+    can. Lasting steps count as on time, without slack.
     """
     request = step.occurrence.job.request
     since_ms = max(request.accepted_at_ms, step.occurrence.due_ms)
@@ -74,18 +74,18 @@
     passed_ms = now_ms - since_ms
     slack_ms = allowed_ms - passed_ms - step.critical_path_ms
     tier = Tier.ON_TIME
-    if passed_ms > _USEFUL_OBJECTIVES * allowed_ms:
+    if passed_ms > _MAX_USEFUL_OBJECTIVES * allowed_ms:
         tier = Tier.USELESS
-    elif slack_ms < -_ESTIMATE_SLACK_SHARE * step.critical_path_ms:
+    elif slack_ms < -_ESTIMATE_ERROR_SHARE * step.critical_path_ms:
         tier = Tier.LATE
     return Rank(tier, slack_ms, queue.priority, since_ms)
 
 
 def queue_of(task: Task, queues: Mapping[str, QueuePolicy]) -> QueuePolicy:
-    """Return the policy of a task's queue.
+    """Return the policy of the queue of a task's job.
 
-    A queue that the configuration no longer has keeps the service that its
-    job was accepted for.
+    If the configuration no longer has the queue, the policy has default values
+    and the service that the job was accepted for.
     """
     request = job_of(task).request
     found = queues.get(request.queue)
--- a/src/marjoramwharf/scheduling/pacing.py
+++ b/src/marjoramwharf/scheduling/pacing.py
@@ -1,8 +1,8 @@
-"""Bounds how long a tail stays over its target on one worker.
+"""Slows filling runs to bound how long a tail latency is over its target.
 
-Load answered: filling tasks that turn out to disturb what serves beside them.
-The ones that are to blame most are slowed first; a tail that stays over its
-target for long stops all filling work of the worker.
+Load answered: filling tasks that turn out to disturb the serving tasks beside
+them. The most disturbing ones are slowed first; a tail that stays over its
+target for long pauses all filling runs of the worker.
 """
 
 from __future__ import annotations
@@ -13,172 +13,176 @@
 
 from marjoramwharf.scheduling.fleet import Worker
 from marjoramwharf.scheduling.headroom import cpu_share_of
-from marjoramwharf.scheduling.interference import InterferenceModel, FillingLoad
+from marjoramwharf.scheduling.interference import FillingLoad, InterferenceModel
 from marjoramwharf.scheduling.job_state import Run, Step
-from marjoramwharf.scheduling.readings import running_runs, measured_headroom
+from marjoramwharf.scheduling.readings import measured_headroom, running_runs
 
 FULL_PERCENT = 100
 
-# Paces are multiples of this, so that few orders are needed.
+# Paces are multiples of this, which keeps the number of orders low.
 _PACE_STEP_PERCENT = 25
 
-# The headroom that a pace should leave: the target, and a part for what is
-# not known of a pair of images.
-_WANTED_HEADROOM = 1.2
-_SPREAD_FACTOR = 0.4
+# The headroom that the paces should leave, and how many standard deviations of
+# the expected loss are added, since little may be known of a pair of images.
+_GOAL_HEADROOM = 1.2
+_MARGIN_DEVIATIONS = 0.4
 
-# How far ahead a pace is chosen for, which is until about the next look.
-_AHEAD_S = 0.4
+# How far ahead headroom is forecast: until about the next poll.
+_FORECAST_AHEAD_S = 0.4
 
-# A pace is not raised again sooner than this after a change.
-_RAISE_PAUSE_S = 0.4
+# A pace is not raised sooner than this after its latest change.
+_MIN_RAISE_INTERVAL_S = 0.4
 
-# How long before a tail has been over its target for too long the runs to
-# blame are paused, and all filling work of the worker: an order takes a tenth
-# of a second to act, and readings lag.
-_PAUSE_MARGIN_S = 1.7
+# How long before a tail has been over its target for too long the disturbing
+# runs are slowed, and all filling runs of the worker are paused: an order
+# takes a tenth of a second to act, and readings lag.
+_SLOW_MARGIN_S = 1.7
 _PAUSE_ALL_MARGIN_S = 1.2
 
-# A run to blame for less than this loss of headroom is left alone.
-_LEAST_BLAME = 0.05
+# A run that takes less headroom than this is not slowed.
+_MIN_DISTURBANCE = 0.05
 
 
 @dataclass(slots=True)
 class PaceController:
-    """State of the pacing on one worker.
+    """Chooses the paces of the filling runs on one worker.
 
-    No tail may be over its target for ``max_over_target_s`` on end by what fills.
+    Filling runs must not keep any tail latency over its target for
+    ``max_over_target_s`` on end.
     """
 
     worker: Worker
     model: InterferenceModel
     max_over_target_s: float
-    _over_since_s: dict[Run, float] = field(default_factory=dict)
-    _looked_s: float = 0
+    _over_target_since_s: dict[Run, float] = field(default_factory=dict)
+    _decided_s: float = 0
 
     def decide(self, *, now_s: float) -> Mapping[Run, int]:
         """Return the runs whose pace changes, with the new percentage."""
         filling = running_runs(self.worker.filling_runs())
-        longest_s = self._longest_over_s(now_s)
+        longest_s = self._longest_over_target_s(now_s)
         self.worker.is_filling_paused = (
-            longest_s >= self.max_over_target_s - _PAUSE_MARGIN_S
+            longest_s >= self.max_over_target_s - _SLOW_MARGIN_S
         )
         paces = dict.fromkeys(filling, FULL_PERCENT)
         if longest_s >= self.max_over_target_s - _PAUSE_ALL_MARGIN_S:
             paces = dict.fromkeys(filling, 0)
         elif self.worker.is_filling_paused:
-            paces = self._paces(filling, now_s)
-        return _changes(paces, now_s)
+            paces = self._choose_paces(filling, now_s)
+        return _due_changes(paces, now_s)
 
     def needs_early_poll(self) -> bool:
-        """Whether the next look is due soon, to end a pause or begin one."""
-        return bool(self._over_since_s) or any(
+        """Whether to poll the worker soon, to begin or to end a pause."""
+        return bool(self._over_target_since_s) or any(
             run.pace_percent < FULL_PERCENT
             for run in self.worker.filling_runs()
         )
 
-    def _longest_over_s(self, now_s: float) -> float:
+    def _longest_over_target_s(self, now_s: float) -> float:
         """Return how long a tail may have been over its target by now."""
-        # A tail may have risen right after the last look that found it low.
-        self._over_since_s = {
-            run: self._over_since_s.get(run, self._looked_s)
+        # A tail may have risen right after the last poll that found it low.
+        self._over_target_since_s = {
+            run: self._over_target_since_s.get(run, self._decided_s)
             for run in running_runs(self.worker.serving_runs())
             if run.reading and measured_headroom(run) < 1
         }
-        self._looked_s = now_s
-        return now_s - min(self._over_since_s.values(), default=now_s)
+        self._decided_s = now_s
+        return now_s - min(self._over_target_since_s.values(), default=now_s)
 
-    def _paces(
+    def _choose_paces(
         self,
         filling: Sequence[Run],
         now_s: float,
     ) -> dict[Run, int]:
-        """Slow what is to blame until all headrooms are expected to do."""
+        """Slow the most disturbing runs until no headroom is short."""
         paces = dict.fromkeys(filling, FULL_PERCENT)
-        lacking = self._lacking(filling, now_s)
-        for run in sorted(filling, key=self._blame_by(lacking), reverse=True):
+        shortfalls = self._headroom_shortfalls(filling, now_s)
+        for run in sorted(
+            filling, key=self._disturbance_key(shortfalls), reverse=True
+        ):
             share = cpu_share_of(run, self.worker, FULL_PERCENT)
             image = run.step.image
             weights = {
                 step: self.model.weight(image, step.request.image) * share
-                for step in lacking
+                for step in shortfalls
             }
-            needed = max(
+            needed_cut = max(
                 (
-                    lacking[step] / weight
+                    shortfalls[step] / weight
                     for step, weight in weights.items()
-                    if weight > _LEAST_BLAME and lacking[step] > 0
+                    if weight > _MIN_DISTURBANCE and shortfalls[step] > 0
                 ),
                 default=0,
             )
-            cut = _rounded_up(min(1, needed))
-            paces[run] = FULL_PERCENT - cut
+            cut_percent = _round_up_percent(min(1, needed_cut))
+            paces[run] = FULL_PERCENT - cut_percent
             for step, weight in weights.items():
-                lacking[step] -= weight * cut / FULL_PERCENT
+                shortfalls[step] -= weight * cut_percent / FULL_PERCENT
         return paces
 
-    def _lacking(
+    def _headroom_shortfalls(
         self,
         filling: Sequence[Run],
         now_s: float,
     ) -> dict[Step, float]:
         """Return the headroom that each serving step lacks at full pace.
 
-        What is read counts as well as what is expected.
+        That is the larger one of the expected shortfall and of the measured
+        shortfall of any task that is over its target.
         """
-        pressures = [
+        loads = [
             FillingLoad(
                 run.step.image,
                 cpu_share_of(run, self.worker, FULL_PERCENT),
             )
             for run in filling
         ]
-        lacking: dict[Step, float] = {}
+        shortfalls: dict[Step, float] = {}
         for run in running_runs(self.worker.serving_runs()):
             step = run.task.step
-            if step not in lacking:
-                loss = self.model.expected_loss(step.request.image, pressures)
+            if step not in shortfalls:
+                loss = self.model.expected_loss(step.request.image, loads)
                 baseline = step.baseline_headroom.forecast(
-                    at_s=now_s + _AHEAD_S
+                    at_s=now_s + _FORECAST_AHEAD_S
                 )
-                margin = _SPREAD_FACTOR * math.sqrt(loss.variance)
-                wanted = _WANTED_HEADROOM + margin
-                lacking[step] = wanted - baseline + loss.headroom
-            if run in self._over_since_s:
-                seen = _WANTED_HEADROOM - measured_headroom(run)
-                lacking[step] = max(lacking[step], seen)
-        return lacking
-
-    def _blame_by(
+                margin = _MARGIN_DEVIATIONS * math.sqrt(loss.variance)
+                goal = _GOAL_HEADROOM + margin
+                shortfalls[step] = goal - baseline + loss.headroom
+            if run in self._over_target_since_s:
+                measured = _GOAL_HEADROOM - measured_headroom(run)
+                shortfalls[step] = max(shortfalls[step], measured)
+        return shortfalls
+
+    def _disturbance_key(
         self,
-        lacking: Mapping[Step, float],
+        shortfalls: Mapping[Step, float],
     ) -> Callable[[Run], float]:
-        def blame(run: Run) -> float:
+        def disturbance(run: Run) -> float:
             share = cpu_share_of(run, self.worker, FULL_PERCENT)
             return share * sum(
                 self.model.weight(run.step.image, step.request.image)
-                for step, lack in lacking.items()
-                if lack > 0
+                for step, shortfall in shortfalls.items()
+                if shortfall > 0
             )
 
-        return blame
+        return disturbance
 
 
-def _rounded_up(part: float) -> int:
-    """Return a part of the full pace as a percentage, in whole steps."""
-    steps = math.ceil(part * FULL_PERCENT / _PACE_STEP_PERCENT)
+def _round_up_percent(fraction: float) -> int:
+    """Return a fraction as a percentage, rounded up to a pace step."""
+    steps = math.ceil(fraction * FULL_PERCENT / _PACE_STEP_PERCENT)
     return steps * _PACE_STEP_PERCENT
 
 
-def _changes(paces: Mapping[Run, int], now_s: float) -> Mapping[Run, int]:
+def _due_changes(paces: Mapping[Run, int], now_s: float) -> Mapping[Run, int]:
     return {
         run: percent
         for run, percent in paces.items()
-        if _is_due(run, percent, now_s)
+        if _is_change_due(run, percent, now_s)
     }
 
 
-def _is_due(run: Run, percent: int, now_s: float) -> bool:
+def _is_change_due(run: Run, percent: int, now_s: float) -> bool:
     if percent > run.pace_percent:
-        return now_s - run.pace_changed_s > _RAISE_PAUSE_S
+        return now_s - run.pace_changed_s > _MIN_RAISE_INTERVAL_S
     return percent < run.pace_percent
--- a/src/marjoramwharf/scheduling/placement.py
+++ b/src/marjoramwharf/scheduling/placement.py
@@ -1,8 +1,8 @@
 """Choice of the worker for a task.
 
 Load answered: many short tasks beside lasting tasks that serve users of their
-own. Serving tasks are packed, so that some workers stay free of them. Tasks
-that fill go there first, and then where they are expected to disturb least.
+own. Serving tasks are packed, so that some workers stay free of them. Filling
+tasks go there first, and then where they are expected to do least harm.
 """
 
 from __future__ import annotations
@@ -19,40 +19,40 @@
 from marjoramwharf.scheduling.headroom import expected_harm
 from marjoramwharf.scheduling.workload import StepRequest
 
-# Cost of a choice, in units of one whole worker in use.
+# Costs of placing a task on a worker, in units of one whole worker in use.
 _FAILURE_COST = 1.5
 _SUSPECT_COST = 3.0
 _SAME_FAILURE_COST = 4.0
 _OTHER_RACK_COST = 6.0
-_OVERFULL_COST = 3.0
+_OVERLOAD_COST = 3.0
 _HARM_COST = 4.0
-_SERVED_COST = 0.01
-_USED_COST = 0.05
+_SERVING_RUN_COST = 0.01
+_UTILIZATION_COST = 0.05
 _OTHER_IMAGE_COST = 2.0
-_TOGETHER_GAIN = 0.3
+_SAME_STEP_GAIN = 0.3
 
-_FILL_BESIDE_SERVING_COST = 1.0
+_SERVING_BESIDE_FILLING_COST = 1.0
 
-# A serving task uses about this share of the processors that it reserves.
+# A serving task uses about this share of the CPU that it reserves.
 _SERVING_USE_SHARE = 0.45
 
-# Least share of a worker that counts as left by what serves there.
-_LEAST_LEFT_SHARE = 0.05
+# The CPU share that other runs leave to filling tasks counts as at least this.
+_MIN_FREE_SHARE = 0.05
 
-# The size of a serving job in millicores as long as none is known.
+# The mean size of a serving job in millicores as long as there is none.
 DEFAULT_SERVING_JOB_MILLICORES = 40_000.0
 
-# A worker takes filling tasks up to this share of its processors.
-_FILL_LIMIT_SHARE = 1.0
+# Filling tasks are added to others on a worker up to this share of its CPU.
+_FILLING_LIMIT_SHARE = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementContext:
-    """What a choice depends on besides the task and the workers.
+    """What a placement depends on besides the task and the workers.
 
-    A filling task waits rather than spoil more than ``allowed_harm`` serving
-    jobs, of which a usual one has ``serving_job_millicores`` millicores. ``excluded_workers``
-    are workers that must not be chosen.
+    A filling task waits rather than cost more than ``allowed_harm`` serving
+    jobs, whose mean size is ``serving_job_millicores``. None of the
+    ``excluded_workers`` is chosen.
     """
 
     model: InterferenceModel
@@ -65,13 +65,13 @@
 def choose_worker(
     task: Task,
     workers: Iterable[Worker],
-    choice: PlacementContext,
+    context: PlacementContext,
 ) -> Worker | None:
     """Return the cheapest worker that may run a task now, if there is one."""
     best: Worker | None = None
     best_cost = math.inf
     for worker in workers:
-        cost = _allowed_cost(task, worker, choice)
+        cost = _allowed_cost(task, worker, context)
         if cost < best_cost:
             best = worker
             best_cost = cost
@@ -79,43 +79,43 @@
 
 
 class WorkerSelector:
-    """Chooses workers for equal tasks, one after the other.
+    """Chooses workers for the equal tasks of a step, one after the other.
 
-    The costs of all workers are computed once; afterwards only that of the
-    worker that got a task, so a wide step costs little more than one task.
+    The costs of all workers are computed once and then only that of the worker
+    that got a task, so a wide step takes little longer than one task.
     """
 
     def __init__(
         self,
         task: Task,
         workers: Sequence[Worker],
-        choice: PlacementContext,
+        context: PlacementContext,
     ) -> None:
-        """Rank the workers for the tasks of a step, of which one is given."""
+        """Compute the costs of the workers for a task of the step."""
         self._task = task
         self._workers = workers
-        self._choice = choice
+        self._context = context
         self._costs: list[tuple[float, int]] = []
         for number, worker in enumerate(workers):
-            cost = _allowed_cost(task, worker, choice)
+            cost = _allowed_cost(task, worker, context)
             if cost < math.inf:
                 self._costs.append((cost, number))
         heapq.heapify(self._costs)
 
     def choose(self, task: Task) -> Worker | None:
-        """Return the cheapest worker; it has to be placed before the next."""
+        """Return the cheapest worker; place the task before the next call."""
         if task.failed_workers:
-            return choose_worker(task, self._workers, self._choice)
-        self._refresh_first()
+            return choose_worker(task, self._workers, self._context)
+        self._refresh_cheapest()
         return self._workers[self._costs[0][1]] if self._costs else None
 
-    def _refresh_first(self) -> None:
-        """Bring the cost of the first worker up to date until it is least."""
+    def _refresh_cheapest(self) -> None:
+        """Recompute the cost of the first worker until it is the least."""
         while self._costs:
-            known, number = self._costs[0]
+            computed_cost, number = self._costs[0]
             worker = self._workers[number]
-            cost = _allowed_cost(self._task, worker, self._choice)
-            if cost == known:
+            cost = _allowed_cost(self._task, worker, self._context)
+            if cost == computed_cost:
                 return
             if cost < math.inf:
                 heapq.heapreplace(self._costs, (cost, number))
@@ -124,7 +124,7 @@
 
 
 def may_run(task: Task, worker: Worker, now_s: float) -> bool:
-    """Whether the rules let a worker run a task now."""
+    """Whether a worker is allowed to run a task now and has the resources."""
     request = task.step.request
     limit = request.per_worker_limit
     if not worker.is_usable(now_s) or not worker.has_resources_for(request):
@@ -136,16 +136,16 @@
 
 
 def placement_cost(
-    task: Task, worker: Worker, choice: PlacementContext
+    task: Task, worker: Worker, context: PlacementContext
 ) -> float:
-    """Return how much a choice costs its own job and its neighbours.
+    """Return the cost of a task on a worker, to its job and to other runs.
 
-    An infinite cost means that the task should rather wait.
+    With an infinite cost, the task should wait instead.
     """
     request = task.step.request
-    now_s = choice.now_s
+    now_s = context.now_s
     if request.fills:
-        load_cost = _fill_cost(request, worker, choice)
+        load_cost = _filling_cost(request, worker, context)
     elif request.target_tail_ms:
         load_cost = _serving_cost(task, worker)
     else:
@@ -164,11 +164,11 @@
     tasks: Sequence[Task],
     fleet: Fleet,
     candidates: Sequence[Worker],
-    choice: PlacementContext,
+    context: PlacementContext,
 ) -> list[tuple[Task, Worker]] | None:
-    """Return a worker for each task of a gang, or ``None`` for the whole.
+    """Return a worker for each task of a gang, ``None`` if any gets none.
 
-    Where the step asks for it, all workers are of one rack.
+    Where the step asks for it, all workers are in one rack.
     """
     one_rack = tasks[0].step.request.needs_one_rack
     racks = {worker.listing.rack for worker in candidates} if one_rack else {''}
@@ -178,59 +178,60 @@
             for worker in candidates
             if not one_rack or worker.listing.rack == rack
         ]
-        found = _choose_all(tasks, fleet, usable, choice)
+        found = _choose_for_all(tasks, fleet, usable, context)
         if found is not None:
             return found
     return None
 
 
 def _allowed_cost(
-    task: Task, worker: Worker, choice: PlacementContext
+    task: Task, worker: Worker, context: PlacementContext
 ) -> float:
-    if worker.worker_id in choice.excluded_workers:
+    if worker.worker_id in context.excluded_workers:
         return math.inf
-    if not may_run(task, worker, choice.now_s):
+    if not may_run(task, worker, context.now_s):
         return math.inf
-    return placement_cost(task, worker, choice)
+    return placement_cost(task, worker, context)
 
 
-def _fill_cost(
+def _filling_cost(
     request: StepRequest,
     worker: Worker,
-    choice: PlacementContext,
+    context: PlacementContext,
 ) -> float:
-    """Cost by the slowdown of the task and the harm to what serves."""
+    """Return the cost of a filling task by its slowdown and its harm."""
     whole = max(1, worker.capacity.cpu_millicores)
     serving = worker.serving_millicores / whole * _SERVING_USE_SHARE
     plain = (worker.reserved_millicores - worker.serving_millicores) / whole
     own = request.cpu_millicores / whole
-    used = plain + worker.filling_millicores / whole + serving + own
-    if used > _FILL_LIMIT_SHARE and worker.filling_millicores:
+    utilization = plain + worker.filling_millicores / whole + serving + own
+    if utilization > _FILLING_LIMIT_SHARE and worker.filling_millicores:
         return math.inf
     harm = expected_harm(
         request,
         worker,
-        choice.model,
-        now_s=choice.now_s,
-        job_millicores=choice.serving_job_millicores,
+        context.model,
+        now_s=context.now_s,
+        job_millicores=context.serving_job_millicores,
     )
-    if harm > choice.allowed_harm:
+    if harm > context.allowed_harm:
         return math.inf
-    served = len(list(worker.serving_runs()))
-    left = max(_LEAST_LEFT_SHARE, 1 - plain - serving)
+    serving_count = len(list(worker.serving_runs()))
+    free = max(_MIN_FREE_SHARE, 1 - plain - serving)
     return (
         _HARM_COST * harm
-        + _SERVED_COST * served / left
-        + _USED_COST * used
-        + _OVERFULL_COST * max(0, used - 1)
+        + _SERVING_RUN_COST * serving_count / free
+        + _UTILIZATION_COST * utilization
+        + _OVERLOAD_COST * max(0, utilization - 1)
     )
 
 
 def _serving_cost(task: Task, worker: Worker) -> float:
-    """Pack what serves, by job and by image, and keep it away from fills.
+    """Return the cost of a serving task, lower beside its own step and image.
 
-    Tasks of one image suffer from the same filling tasks, and a job that is
-    on few workers suffers as a whole or not at all.
+    Serving tasks are packed and kept away from filling ones. Tasks of one
+    image suffer from the same filling tasks, and a job that is on few workers
+    suffers as a whole or not at all.
     """
     whole = max(1, worker.capacity.cpu_millicores)
     other = sum(
@@ -238,11 +239,11 @@
         for run in worker.serving_runs()
         if run.step.image != task.step.request.image
     )
-    cost = _FILL_BESIDE_SERVING_COST * worker.filling_millicores / whole
+    cost = _SERVING_BESIDE_FILLING_COST * worker.filling_millicores / whole
     cost += _OTHER_IMAGE_COST * other / whole
     cost -= worker.serving_millicores / whole
     if worker.runs_count_of(task.step):
-        cost -= _TOGETHER_GAIN
+        cost -= _SAME_STEP_GAIN
     return cost
 
 
@@ -254,20 +255,20 @@
     return plain + filling + serving
 
 
-def _choose_all(
+def _choose_for_all(
     tasks: Sequence[Task],
     fleet: Fleet,
     usable: Sequence[Worker],
-    choice: PlacementContext,
+    context: PlacementContext,
 ) -> list[tuple[Task, Worker]] | None:
     chosen: list[tuple[Task, Worker]] = []
     placeholders: list[Run] = []
     for task in tasks:
-        worker = choose_worker(task, usable, choice)
+        worker = choose_worker(task, usable, context)
         if worker is None:
             break
         chosen.append((task, worker))
-        placeholders.append(_placeholder(task, worker, choice.now_s))
+        placeholders.append(_placeholder(task, worker, context.now_s))
         worker.add(placeholders[-1])
     for run in placeholders:
         fleet.release(run)
--- a/src/marjoramwharf/scheduling/planner.py
+++ b/src/marjoramwharf/scheduling/planner.py
@@ -1,4 +1,4 @@
-"""Plans which waiting tasks start now, and where."""
+"""Planning of which waiting tasks start now, and on which workers."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from marjoramwharf.ids import WorkerId
 from marjoramwharf.scheduling.fleet import Fleet, Worker
 from marjoramwharf.scheduling.interference import InterferenceModel
-from marjoramwharf.scheduling.job_table import JobTable, gang_of
 from marjoramwharf.scheduling.job_state import Run, Step, Task
+from marjoramwharf.scheduling.job_table import JobTable, gang_of
 from marjoramwharf.scheduling.ordering import (
     Rank,
     Tier,
@@ -29,30 +29,32 @@
 from marjoramwharf.scheduling.policy import QueuePolicy
 from marjoramwharf.scheduling.unplaceable_steps import UnplaceableSteps
 
-# Serving jobs that a task may spoil: hardly any while its job has time to
-# wait, and one more for each ``_HARM_STEP_MS`` below ``_PATIENT_SLACK_MS``.
+# Serving jobs that a filling task may cost: hardly any while its job has time
+# to wait, and one more for each ``_HARM_STEP_MS`` of slack below
+# ``_PATIENT_SLACK_MS``.
 _PATIENT_HARM = 0.04
 _PATIENT_SLACK_MS = 1_000
 _HARM_STEP_MS = 800
 
-# Serving jobs that a task of a job that is late anyway may spoil, and how many
-# more after each second, so that it starts at last.
+# Serving jobs that a filling task of a late job may cost, and how many more for
+# each second that it waits, so that it starts at last.
 _LATE_HARM = 0.15
 _LATE_HARM_PER_S = 0.1
 
-# A step that waited this long starts anywhere if less than this share of the
-# processors is in use.
-_LONGEST_IDLE_WAIT_S = 1.5
+# A task that waited this long starts whatever the harm if less than this share
+# of the workers' CPU is in use.
+_MAX_IDLE_WAIT_S = 1.5
 _IDLE_USE_SHARE = 0.6
 
-# Tickets by worker for a step; ``None`` where the queue needs none.
+# Tickets of the advice service by worker; a source returns ``None`` for a step
+# whose queue needs none.
 Tickets = Mapping[WorkerId, str]
 TicketSource = Callable[[Step], Tickets | None]
 
 
 @dataclass(frozen=True, slots=True)
 class StepPlan:
-    """Runs of one step that start now, and what decided it."""
+    """Planned runs of one step, with the rank and harm limit that applied."""
 
     runs: Sequence[Run]
     rank: Rank
@@ -61,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Planner:
-    """Places the ready tasks of a book on the workers of a fleet."""
+    """Places the ready tasks of a job table on the workers of a fleet."""
 
     job_table: JobTable
     fleet: Fleet
@@ -75,7 +77,7 @@
         now_s: float,
         now_ms: int,
     ) -> list[StepPlan]:
-        """Plan runs for what fits now; they are reserved but not ordered."""
+        """Plan runs for what fits now: reserved, but not ordered yet."""
         tasks = [
             task
             for task in self.job_table.ready.values()
@@ -94,18 +96,18 @@
             for number, group in enumerate(groups)
         )
         planned: list[StepPlan] = []
-        refusals = UnplaceableSteps()
-        usual_cpu = self._usual_serving_cpu()
+        unplaceable = UnplaceableSteps()
+        mean_millicores = self._mean_serving_millicores()
         for rank, number in ranked:
             group = groups[number]
             service = queue_of(group[0], queues).service
-            choice = PlacementContext(
+            context = PlacementContext(
                 self.model,
                 now_s,
                 allowed_harm=self._allowed_harm(group[0], rank, now_s),
-                serving_job_millicores=usual_cpu,
+                serving_job_millicores=mean_millicores,
             )
-            plan = self._plan_group(group, service, rank, refusals, choice)
+            plan = self._plan_group(group, service, rank, unplaceable, context)
             if plan is not None:
                 planned.append(plan)
         return planned
@@ -115,27 +117,28 @@
         group: Sequence[Task],
         service: str,
         rank: Rank,
-        refusals: UnplaceableSteps,
-        choice: PlacementContext,
+        unplaceable: UnplaceableSteps,
+        context: PlacementContext,
     ) -> StepPlan | None:
-        """Place the ready tasks of one step, as far as there is room."""
+        """Plan runs for the ready tasks of one step, as far as they fit."""
         step = group[0].step.request
-        allowed_harm = choice.allowed_harm
-        if refusals.covers(service, step, allowed_harm):
+        allowed_harm = context.allowed_harm
+        if unplaceable.covers(service, step, allowed_harm):
             return None
-        runs = self._place_group(group, service, choice)
-        # Steps with a rack, a gang or tickets of their own have fewer workers.
+        runs = self._place_group(group, service, context)
+        # Gangs and steps with one rack or tickets can use fewer workers than
+        # others, so what is refused to them says nothing of other steps.
         is_general = not (step.is_gang or step.needs_one_rack)
         if len(runs) < len(group) and is_general:
             if self.tickets(group[0].step) is None:
-                refusals.add(service, step, allowed_harm)
+                unplaceable.add(service, step, allowed_harm)
         return StepPlan(runs, rank, allowed_harm) if runs else None
 
     def has_alternative_worker(
         self, task: Task, service: str, *, now_s: float
     ) -> bool:
-        """Whether another worker could take a task now."""
-        return self._other_worker(task, service, now_s) is not None
+        """Whether a worker that doesn't run a task yet could take it now."""
+        return self._alternative_worker(task, service, now_s) is not None
 
     def plan_duplicate(
         self,
@@ -144,25 +147,29 @@
         *,
         now_s: float,
     ) -> Run | None:
-        """Plan one more run of a task on a worker that runs none of it."""
-        worker = self._other_worker(task, service, now_s)
+        """Plan one more run of a task on a worker that doesn't run it yet."""
+        worker = self._alternative_worker(task, service, now_s)
         return None if worker is None else self._place(task, worker, now_s)
 
-    def _other_worker(
+    def _alternative_worker(
         self,
         task: Task,
         service: str,
         now_s: float,
     ) -> Worker | None:
-        taken = frozenset(run.worker_id for run in task.runs.values())
+        present_worker_ids = frozenset(
+            run.worker_id for run in task.runs.values()
+        )
         return choose_worker(
             task,
             self._candidates(task, service),
-            PlacementContext(self.model, now_s, excluded_workers=taken),
+            PlacementContext(
+                self.model, now_s, excluded_workers=present_worker_ids
+            ),
         )
 
-    def _usual_serving_cpu(self) -> float:
-        """Return the mean size of the serving jobs in millicores."""
+    def _mean_serving_millicores(self) -> float:
+        """Return the mean size of the open serving steps in millicores."""
         sizes = [
             step.count * step.cpu_millicores
             for job in self.job_table.jobs.values()
@@ -175,17 +182,17 @@
         )
 
     def _allowed_harm(self, task: Task, rank: Rank, now_s: float) -> float:
-        """Return how many serving jobs a task may spoil."""
+        """Return how many serving jobs a filling task may cost."""
         waited_s = now_s - task.ready_since_s
-        if waited_s > _LONGEST_IDLE_WAIT_S and self._is_idle():
+        if waited_s > _MAX_IDLE_WAIT_S and self._is_idle():
             return math.inf
         if rank.tier is not Tier.ON_TIME:
             return _LATE_HARM + _LATE_HARM_PER_S * waited_s
-        pressure = (_PATIENT_SLACK_MS - rank.slack_ms) / _HARM_STEP_MS
-        return _PATIENT_HARM + max(0, pressure)
+        excess_harm = (_PATIENT_SLACK_MS - rank.slack_ms) / _HARM_STEP_MS
+        return _PATIENT_HARM + max(0, excess_harm)
 
     def _is_idle(self) -> bool:
-        """Whether much of the fleet's processors is neither used nor asked."""
+        """Whether much of the fleet's CPU is neither reserved nor in use."""
         used = 0
         whole = 0
         for worker in self.fleet.workers.values():
@@ -200,39 +207,41 @@
         self,
         group: Sequence[Task],
         service: str,
-        choice: PlacementContext,
+        context: PlacementContext,
     ) -> list[Run]:
         candidates = self._candidates(group[0], service)
         if group[0].step.request.is_gang:
-            return self._place_gang(group[0], candidates, choice)
+            return self._place_gang(group[0], candidates, context)
         if group[0].step.request.needs_one_rack:
-            candidates = _rack_first(group[0].step, candidates)
+            candidates = _workers_of_one_rack(group[0].step, candidates)
         planned: list[Run] = []
-        fresh = [task for task in group if not task.failed_workers]
-        chooser = WorkerSelector((fresh or group)[0], candidates, choice)
+        never_failed = [task for task in group if not task.failed_workers]
+        selector = WorkerSelector(
+            (never_failed or group)[0], candidates, context
+        )
         for task in group:
-            worker = chooser.choose(task)
+            worker = selector.choose(task)
             if worker is None:
                 break
-            planned.append(self._place(task, worker, choice.now_s))
+            planned.append(self._place(task, worker, context.now_s))
         return planned
 
     def _place_gang(
         self,
         first: Task,
         candidates: Sequence[Worker],
-        choice: PlacementContext,
+        context: PlacementContext,
     ) -> list[Run]:
         tasks = gang_of(first)
         chosen = choose_gang_workers(
             tasks,
             self.fleet,
             candidates,
-            choice,
+            context,
         )
         number = 1 + max(task.last_run for task in tasks)
         return [
-            self._place(task, worker, choice.now_s, number=number)
+            self._place(task, worker, context.now_s, number=number)
             for task, worker in chosen or ()
         ]
 
@@ -263,10 +272,12 @@
         return [worker for worker in workers if worker.worker_id in tickets]
 
 
-def _rack_first(step: Step, candidates: Sequence[Worker]) -> list[Worker]:
-    """Return the workers of the rack that most of a step runs on.
+def _workers_of_one_rack(
+    step: Step, candidates: Sequence[Worker]
+) -> list[Worker]:
+    """Return the workers of the rack that a step runs in already.
 
-    Before the first start, that is the rack with the most free processors.
+    Before its first start, that is the rack with the most free CPU.
     """
     running = [worker for worker in candidates if worker.runs_count_of(step)]
     racks: dict[str, float] = {}
--- a/src/marjoramwharf/scheduling/policy.py
+++ b/src/marjoramwharf/scheduling/policy.py
@@ -1,4 +1,4 @@
-"""The operators' configuration of queues and services, as the product uses it.
+"""The operators' configuration of queues and services.
 
 A configuration is replaced as a whole by a newer version and never by an
 older one.
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdvicePolicy:
-    """A queue whose steps need a ticket of the advice service.
+    """Timing of the advice service whose tickets the steps of a queue need.
 
-    A call takes ``decision_ms`` and ``per_worker_ms`` for each worker asked
-    about; a ticket is valid for ``valid_ms``.
+    A call takes ``decision_ms``, and ``per_worker_ms`` for each worker in the
+    request; a ticket is valid for ``valid_ms``.
     """
 
     decision_ms: int
@@ -25,10 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuePolicy:
-    """How the jobs of one queue are served.
+    """Policy of a queue: where its jobs come in, run, and in which order.
 
     ``priority`` 0 comes first. The objective of a job is ``stretch`` times
-    its longest chain of work and ``target_latency_ms`` more.
+    its critical path and ``target_latency_ms`` more.
     """
 
     name: str
@@ -45,10 +45,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServicePolicy:
-    """Workers of one service.
+    """Policy of the workers of one service.
 
-    A worker that ``enforces_capacity`` refuses what does not fit; the others
-    start whatever they are told. The workers of a spare service are off.
+    A worker that ``enforces_capacity`` refuses a run that does not fit; others
+    start every run that they are told to. The workers of a spare service are
+    off.
     """
 
     name: str
--- a/src/marjoramwharf/scheduling/readings.py
+++ b/src/marjoramwharf/scheduling/readings.py
@@ -1,4 +1,4 @@
-"""What the readings of one worker teach about interference and own loads."""
+"""Learning of interference and baseline headroom from a worker's readings."""
 
 from __future__ import annotations
 
@@ -9,36 +9,37 @@
 from marjoramwharf.scheduling.fleet import Worker
 from marjoramwharf.scheduling.headroom import cpu_share_of
 from marjoramwharf.scheduling.interference import (
-    InterferenceModel,
     FillingLoad,
+    InterferenceModel,
     is_saturated,
 )
 from marjoramwharf.scheduling.job_state import Run, RunPhase, Step
 
-# Readings cover the last half second, so they tell of its middle.
+# A reading covers the last half second, so it is dated to the middle of that.
 _WINDOW_S = 0.5
 
-# A serving task starts up for so long before its readings count.
+# Readings of a serving task count only after this start-up time.
 _STARTUP_S = 1.0
 
-# Variance of a headroom that is read: in itself, and by the rounding of the
-# tail to whole milliseconds (a standard deviation of 0.29).
+# Variance of a measured headroom, and the standard deviation of a tail latency
+# that is rounded to whole milliseconds (0.29 ms).
 _READING_VARIANCE = 0.05
 _ROUNDING_MS = 0.29
 
-# Variance of the forecast of an undisturbed headroom, and how much more the
-# variance of what disturbs counts when the forecast is corrected.
+# Variance of a forecast of the baseline headroom. When the forecast is updated
+# from a reading under interference, the variance of the expected loss counts by
+# this factor, and this variance is added.
 _FORECAST_VARIANCE = 0.05
 _LOSS_VARIANCE_FACTOR = 4.0
-_DISTURBED_VARIANCE = 0.1
+_INTERFERENCE_VARIANCE = 0.1
 
-# A share of a worker below this disturbs nothing.
-_LEAST_SHARE = 0.003
+# A load below this share of a worker counts as no interference.
+_MIN_LOAD_SHARE = 0.003
 
 
 @dataclass(frozen=True, slots=True)
-class _Past:
-    """A filling run that has ended, for as long as readings show it."""
+class _EndedRun:
+    """A filling run that has ended but still affects readings."""
 
     image: str
     share: float
@@ -48,17 +49,17 @@
 
 @dataclass(slots=True)
 class InterferenceLearner:
-    """Learns from each look at one worker."""
+    """Updates the model and the forecasts from each poll of one worker."""
 
     worker: Worker
     model: InterferenceModel
-    _past: list[_Past] = field(default_factory=list)
+    _ended_runs: list[_EndedRun] = field(default_factory=list)
 
     def record_end(self, run: Run, *, now_s: float) -> None:
-        """Remember a filling run that has just ended."""
+        """Record a filling run that has just ended."""
         if run.step.fills and run.started_s is not None:
-            self._past.append(
-                _Past(
+            self._ended_runs.append(
+                _EndedRun(
                     run.step.image,
                     self._used_share(run),
                     run.started_s,
@@ -67,16 +68,16 @@
             )
 
     def learn(self, *, now_s: float) -> None:
-        """Take in the latest readings of the worker."""
-        pressures = list(self._recent_pressures(now_s))
-        for step, headroom in self._headrooms(now_s):
+        """Update the model and the forecasts from the latest readings."""
+        loads = list(self._recent_loads(now_s))
+        for step, headroom in self._measured_headrooms(now_s):
             variance = _variance_of(headroom, step.request.target_tail_ms)
-            if pressures:
-                self._learn_disturbed(
+            if loads:
+                self._learn_interference(
                     step,
                     headroom,
                     variance,
-                    pressures,
+                    loads,
                     now_s,
                 )
             else:
@@ -87,77 +88,80 @@
                 )
         self.worker.mark_changed()
 
-    def _learn_disturbed(
+    def _learn_interference(
         self,
         step: Step,
         headroom: float,
         variance: float,
-        pressures: list[FillingLoad],
+        loads: list[FillingLoad],
         now_s: float,
     ) -> None:
         at_s = now_s - _WINDOW_S / 2
         image = step.request.image
         lost_headroom = step.baseline_headroom.forecast(at_s=at_s) - headroom
-        saturated = is_saturated(headroom)
+        is_lower_bound = is_saturated(headroom)
         if (
-            not saturated
-            or self.model.expected_loss(image, pressures).headroom
-            < lost_headroom
+            not is_lower_bound
+            or self.model.expected_loss(image, loads).headroom < lost_headroom
         ):
             self.model.observe(
                 image,
-                pressures,
+                loads,
                 lost_headroom=lost_headroom,
                 variance=variance + _FORECAST_VARIANCE,
             )
-        if not saturated:
-            loss = self.model.expected_loss(image, pressures)
+        if not is_lower_bound:
+            loss = self.model.expected_loss(image, loads)
             variance += _LOSS_VARIANCE_FACTOR * loss.variance
             step.baseline_headroom.observe(
                 headroom + loss.headroom,
                 at_s=at_s,
-                variance=variance + _DISTURBED_VARIANCE,
+                variance=variance + _INTERFERENCE_VARIANCE,
             )
 
-    def _headrooms(self, now_s: float) -> Iterator[tuple[Step, float]]:
-        """Return the mean headroom of each step's tasks on the worker."""
-        found: dict[Step, list[float]] = {}
+    def _measured_headrooms(self, now_s: float) -> Iterator[tuple[Step, float]]:
+        """Return the mean measured headroom of each step on the worker."""
+        by_step: dict[Step, list[float]] = {}
         for run in running_runs(self.worker.serving_runs()):
-            if run.reading and _is_settled(run, now_s):
-                found.setdefault(run.task.step, []).append(
+            if run.reading and _has_started_up(run, now_s):
+                by_step.setdefault(run.task.step, []).append(
                     measured_headroom(run)
                 )
-        for step, headrooms in found.items():
+        for step, headrooms in by_step.items():
             yield step, statistics.fmean(headrooms)
 
-    def _recent_pressures(self, now_s: float) -> Iterator[FillingLoad]:
+    def _recent_loads(self, now_s: float) -> Iterator[FillingLoad]:
         since_s = now_s - _WINDOW_S
-        self._past = [past for past in self._past if past.ended_s > since_s]
-        for past in self._past:
-            part = _overlap(past.started_s, past.ended_s, since_s)
-            if past.share * part > _LEAST_SHARE:
-                yield FillingLoad(past.image, past.share * part)
+        self._ended_runs = [
+            ended for ended in self._ended_runs if ended.ended_s > since_s
+        ]
+        for ended in self._ended_runs:
+            overlap_share = _overlap_share(
+                ended.started_s, ended.ended_s, since_s
+            )
+            if ended.share * overlap_share > _MIN_LOAD_SHARE:
+                yield FillingLoad(ended.image, ended.share * overlap_share)
         for run in running_runs(self.worker.filling_runs()):
             started_s = now_s if run.started_s is None else run.started_s
-            part = _overlap(started_s, now_s, since_s)
-            share = self._used_share(run) * part
-            if share > _LEAST_SHARE:
+            overlap_share = _overlap_share(started_s, now_s, since_s)
+            share = self._used_share(run) * overlap_share
+            if share > _MIN_LOAD_SHARE:
                 yield FillingLoad(run.step.image, share)
 
     def _used_share(self, run: Run) -> float:
-        """Return the share of the worker that a run uses."""
+        """Return the share of the worker's CPU that a run uses."""
         if run.reading:
             return run.reading / max(1, self.worker.capacity.cpu_millicores)
         return cpu_share_of(run, self.worker, run.pace_percent)
 
 
 def measured_headroom(run: Run) -> float:
-    """Return the target of a serving run divided by its tail."""
+    """Return the latency target of a run divided by its tail latency."""
     return run.step.target_tail_ms / max(1, run.reading)
 
 
 def running_runs(runs: Iterable[Run]) -> list[Run]:
-    """Return the runs that have begun and are not being stopped."""
+    """Return those runs that have begun and are not being stopped."""
     return [run for run in runs if run.phase is RunPhase.RUNNING]
 
 
@@ -166,11 +170,11 @@
     return _READING_VARIANCE + rounding * rounding
 
 
-def _overlap(started_s: float, ended_s: float, since_s: float) -> float:
+def _overlap_share(started_s: float, ended_s: float, since_s: float) -> float:
     length_s = ended_s - max(started_s, since_s)
     return min(1, max(0, length_s / _WINDOW_S))
 
 
-def _is_settled(run: Run, now_s: float) -> bool:
+def _has_started_up(run: Run, now_s: float) -> bool:
     started_s = run.started_s
     return started_s is not None and now_s - started_s > _STARTUP_S
--- a/src/marjoramwharf/scheduling/unplaceable_steps.py
+++ b/src/marjoramwharf/scheduling/unplaceable_steps.py
@@ -1,8 +1,8 @@
-"""What could not be placed in one pass of the planner.
+"""Steps that could not be placed in one pass of the planner.
 
-Load answered: bursts on large fleets, in which hundreds of steps wait. Room
-only shrinks within a pass, so a step that asks for no less than one that was
-refused needs no comparison with every worker.
+Load answered: bursts on large fleets, in which hundreds of steps wait. Free
+capacity only shrinks within a pass, so a step that needs no less than one that
+found no worker need not be compared with every worker.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Refusal:
+class _UnplaceableStep:
     service: str
     step: StepRequest
     allowed_harm: float
@@ -21,9 +21,9 @@
 
 @dataclass(slots=True)
 class UnplaceableSteps:
-    """The steps that were refused in this pass."""
+    """The steps of which a task found no worker in this pass."""
 
-    _known: list[_Refusal] = field(default_factory=list)
+    _steps: list[_UnplaceableStep] = field(default_factory=list)
 
     def add(
         self,
@@ -31,13 +31,13 @@
         step: StepRequest,
         allowed_harm: float,
     ) -> None:
-        """Note that no worker takes a task of a step now.
+        """Record that no worker can take a task of a step now.
 
-        A limit for each worker is a reason of the step's own, which says
-        nothing of other steps.
+        A step with a limit per worker is left out: the limit counts only its
+        own tasks, so it says nothing about other steps.
         """
         if not step.per_worker_limit:
-            self._known.append(_Refusal(service, step, allowed_harm))
+            self._steps.append(_UnplaceableStep(service, step, allowed_harm))
 
     def covers(
         self,
@@ -45,33 +45,33 @@
         step: StepRequest,
         allowed_harm: float,
     ) -> bool:
-        """Whether a step is refused for the same reason as another."""
+        """Whether no worker can take a step because of one recorded before."""
         return any(
-            refusal.service == service
-            and _asks_no_less(step, refusal.step)
-            and _is_as_harmful(step, allowed_harm, refusal)
-            for refusal in self._known
+            recorded.service == service
+            and _needs_no_less(step, recorded.step)
+            and _allows_no_more_harm(step, allowed_harm, recorded)
+            for recorded in self._steps
         )
 
 
-def _asks_no_less(step: StepRequest, refused: StepRequest) -> bool:
-    if refused.required_label not in {'', step.required_label}:
+def _needs_no_less(step: StepRequest, other: StepRequest) -> bool:
+    if other.required_label not in {'', step.required_label}:
         return False
-    if step.fills is not refused.fills:
+    if step.fills is not other.fills:
         return False
     return (
-        step.cpu_millicores >= refused.cpu_millicores
-        and step.memory_mb >= refused.memory_mb
-        and step.accelerators_count >= refused.accelerators_count
+        step.cpu_millicores >= other.cpu_millicores
+        and step.memory_mb >= other.memory_mb
+        and step.accelerators_count >= other.accelerators_count
     )
 
 
-def _is_as_harmful(
+def _allows_no_more_harm(
     step: StepRequest,
     allowed_harm: float,
-    refusal: _Refusal,
+    recorded: _UnplaceableStep,
 ) -> bool:
     if not step.fills:
         return True
-    same_image = step.image == refusal.step.image
-    return same_image and allowed_harm <= refusal.allowed_harm
+    same_image = step.image == recorded.step.image
+    return same_image and allowed_harm <= recorded.allowed_harm
--- a/src/marjoramwharf/scheduling/workload.py
+++ b/src/marjoramwharf/scheduling/workload.py
@@ -1,4 +1,4 @@
-"""What a caller asks for: a job of steps, each of several equal tasks.
+"""Job requests of callers: a job has steps, each of several equal tasks.
 
 The structs are also the stored form of a job, so fields are only added at the
 end, with a default.
@@ -19,13 +19,12 @@
 class StepRequest(Struct, frozen=True, array_like=True):
     """``count`` equal tasks that may start when the steps ``after`` are done.
 
-    ``estimate_ms`` is the caller's rough guess of a task's run time.
-    ``data_rack`` is where a task runs fastest, ``required_label`` what its
-    worker must have, and ``per_worker_limit`` how many tasks of the step one
-    worker may run (0: any number). ``fills`` means that the task takes the
-    processors that other tasks leave unused, and isn't counted against the
-    worker's. ``max_unavailable_count`` tasks of a lasting step may be away at a time
-    by our own doing.
+    ``estimate_ms`` is the caller's rough estimate of a task's run time. A task
+    runs fastest in ``data_rack``, its worker must have ``required_label``, and
+    one worker may run ``per_worker_limit`` tasks of the step (0: any number).
+    A task that ``fills`` uses the CPU that other tasks leave unused, and
+    reserves none itself. The scheduler may make ``max_unavailable_count``
+    tasks of a lasting step unavailable at a time.
     """
 
     count: int
@@ -49,9 +48,9 @@
 
 
 class JobRequest(Struct, frozen=True, array_like=True):
-    """A job as its caller sent it, with the queue that took it.
+    """A job as its caller sent it, with the queue that accepted it.
 
-    ``payload`` is passed to each task unread. A job with a ``repeat_count``
+    ``payload`` is passed to each task unparsed. A job with a ``repeat_count``
     runs its steps that many times; occurrence K is due at ``first_due_ms`` +
     K x ``interval_ms`` of wall-clock time.
     """
@@ -68,7 +67,7 @@
 
     @property
     def occurrences_count(self) -> int:
-        """How often the steps run."""
+        """How many times the steps run."""
         return max(1, self.repeat_count)
 
     def due_ms(self, occurrence: int) -> int:
@@ -90,17 +89,17 @@
 
 
 def critical_paths_ms(steps: Sequence[StepRequest]) -> list[int]:
-    """Return for each step the longest estimate from its start to the end.
+    """Return each step's critical path, from its start to the end of the job.
 
     >>> first = StepRequest(1, estimate_ms=100)
     >>> second = StepRequest(1, estimate_ms=50, after=(0,))
     >>> critical_paths_ms([first, second])
     [150, 50]
     """
-    lengths_ms = [step.estimate_ms for step in steps]
-    # A step comes only after earlier ones, so the last step is final first.
+    paths_ms = [step.estimate_ms for step in steps]
+    # A step depends on earlier ones only, so later paths are final first.
     for number in range(len(steps) - 1, -1, -1):
         for before in steps[number].after:
-            longer_ms = steps[before].estimate_ms + lengths_ms[number]
-            lengths_ms[before] = max(lengths_ms[before], longer_ms)
-    return lengths_ms
+            path_ms = steps[before].estimate_ms + paths_ms[number]
+            paths_ms[before] = max(paths_ms[before], path_ms)
+    return paths_ms
--- a/tests/scheduling/fixtures.py
+++ b/tests/scheduling/fixtures.py
@@ -1,4 +1,4 @@
-"""Workers, jobs and runs for the tests of decisions."""
+"""Workers, jobs and runs for the tests of scheduling decisions."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
     WorkerListing,
     WorkerState,
 )
-from marjoramwharf.scheduling.job_table import JobTable
 from marjoramwharf.scheduling.job_state import Job, Run, RunPhase, Task
+from marjoramwharf.scheduling.job_table import JobTable
 from marjoramwharf.scheduling.policy import QueuePolicy
 from marjoramwharf.scheduling.workload import JobRequest, StepRequest
 
@@ -52,7 +52,7 @@
 
 
 def make_step(count: int = 1, **fields: Any) -> StepRequest:
-    """Return a step of tasks that ask for two cores."""
+    """Return a step of tasks that need two cores."""
     fields.setdefault('cpu_millicores', 2_000)
     fields.setdefault('memory_mb', 100)
     fields.setdefault('estimate_ms', 1_000)
@@ -66,7 +66,7 @@
     accepted_at_ms: int = 0,
     now_s: float = 0,
 ) -> Job:
-    """Add a job to a book."""
+    """Add a job to a table."""
     request = JobRequest(
         job_id=JobId(name),
         queue=QUEUE.name,
@@ -91,7 +91,7 @@
     *,
     now_s: float = 0,
 ) -> Run:
-    """Place and start a run of a task."""
+    """Plan and start a run of a task."""
     run = job_table.plan_run(
         task,
         worker_id=worker.worker_id,
--- a/tests/scheduling/test_job_table.py
+++ b/tests/scheduling/test_job_table.py
@@ -1,4 +1,4 @@
-"""Changes that orders and ends make to the jobs of a cell."""
+"""State changes that orders and ends make to the jobs of a cell."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     progress_of,
     restore_job,
 )
-from marjoramwharf.scheduling.job_table import JobTable
 from marjoramwharf.scheduling.job_state import (
     JobPhase,
     Run,
     RunEnd,
     RunPhase,
 )
+from marjoramwharf.scheduling.job_table import JobTable
 from tests.scheduling.fixtures import (
     add_job,
     first_task,
@@ -34,12 +34,12 @@
     """Guards against tasks that start too early, too often or never."""
 
     def setUp(self) -> None:
-        """Start with an empty book."""
+        """Start with an empty table."""
         self.job_table = JobTable()
         self.worker = make_worker('w1')
 
-    def test_step_opens_after_all_before(self) -> None:
-        """Guards against a step that starts before the last end."""
+    def test_step_waits_for_predecessors(self) -> None:
+        """Guards against a step that starts before its predecessor is done."""
         job = add_job(self.job_table, 'j', make_step(2), make_step(after=(0,)))
         runs = [
             start_run(self.job_table, task, self.worker)
@@ -50,8 +50,8 @@
         self._end(runs[1], RunEnd.DONE)
         self.assertEqual(['j.0.1.0'], list(self.job_table.ready))
 
-    def test_failures_count(self) -> None:
-        """Guards against a lapse or a stop that counts as an attempt."""
+    def test_only_failures_count_as_attempts(self) -> None:
+        """Guards against a lapsed or stopped run that counts as an attempt."""
         job = add_job(self.job_table, 'j', make_step())
         for how in (RunEnd.LAPSED, RunEnd.STOPPED, RunEnd.VANISHED):
             self._end(
@@ -65,8 +65,8 @@
         self.assertIs(JobPhase.FAILED, job.phase)
         self.assertFalse(self.job_table.ready)
 
-    def test_gang_ends_as_one(self) -> None:
-        """Guards against a gang of which one end is not enough."""
+    def test_gang_is_done_with_first_member(self) -> None:
+        """Guards against a gang that runs on after one member is done."""
         job = add_job(self.job_table, 'j', make_step(3, is_gang=True))
         tasks = job.occurrences[0].steps[0].tasks
         runs = [start_run(self.job_table, task, self.worker) for task in tasks]
@@ -84,8 +84,8 @@
         self._end(runs[1], RunEnd.FAILED)
         self.assertEqual(2, len(self.job_table.ready))
 
-    def test_duplicate_is_surplus(self) -> None:
-        """Guards against a copy that runs on after the first end."""
+    def test_duplicate_becomes_surplus(self) -> None:
+        """Guards against a duplicate that runs on after the other run's end."""
         job = add_job(self.job_table, 'j', make_step(2, may_duplicate=True))
         task = first_task(job)
         first = start_run(self.job_table, task, self.worker)
@@ -105,7 +105,7 @@
         self.assertIs(JobPhase.CANCELLED, job.phase)
 
     def test_checkpoint_is_kept(self) -> None:
-        """Guards against work that starts from the beginning again."""
+        """Guards against a stopped task that loses its checkpoint."""
         job = add_job(self.job_table, 'j', make_step(has_checkpoints=True))
         run = start_run(self.job_table, first_task(job), self.worker)
         self._end(run, RunEnd.STOPPED, saved='0bb8')
@@ -114,7 +114,7 @@
     @settings(derandomize=True, max_examples=150)
     @given(st.lists(st.sampled_from(list(RunEnd)), max_size=30))
     def test_restored_job_is_the_same(self, ends: list[RunEnd]) -> None:
-        """Guards against a state that a new owner reads differently."""
+        """Guards against a job that a new owner restores in another state."""
         job_table = JobTable()
         job = add_job(
             job_table,
@@ -128,12 +128,12 @@
                 run = start_run(job_table, task, self.worker)
                 self._end(run, how, job_table=job_table)
         stored = decode(encode(progress_of(job)), ProgressRecord, key='k')
-        other = JobTable()
-        copy = restore_job(job.request, stored, revision=1, now_s=0)
-        other.add_restored(copy, now_s=0, now_ms=0)
-        self.assertEqual(set(job_table.ready), set(other.ready))
-        self.assertEqual(job.phase, copy.phase)
-        self.assertEqual(progress_of(job), progress_of(copy))
+        restored_table = JobTable()
+        restored = restore_job(job.request, stored, revision=1, now_s=0)
+        restored_table.add_restored(restored, now_s=0, now_ms=0)
+        self.assertEqual(set(job_table.ready), set(restored_table.ready))
+        self.assertEqual(job.phase, restored.phase)
+        self.assertEqual(progress_of(job), progress_of(restored))
 
     def _end(
         self,
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -12,9 +12,9 @@
     WorkerListing,
     WorkerState,
 )
-from marjoramwharf.scheduling.interference import InterferenceModel, FillingLoad
-from marjoramwharf.scheduling.job_table import JobTable
+from marjoramwharf.scheduling.interference import FillingLoad, InterferenceModel
 from marjoramwharf.scheduling.job_state import Run
+from marjoramwharf.scheduling.job_table import JobTable
 from marjoramwharf.scheduling.ordering import Tier, step_rank
 from marjoramwharf.scheduling.planner import Planner
 from tests.scheduling.fixtures import (
@@ -47,28 +47,28 @@
 
 
 class _CountedWorker(Worker):
-    """Counts how often it is considered."""
+    """Counts how often the planner checks it."""
 
     def __init__(self, listing: WorkerListing) -> None:
-        """Start without a look."""
+        """Start with no checks."""
         super().__init__(listing, is_reachable=True)
-        self.looks_count = 0
+        self.checks_count = 0
 
     def is_usable(self, now_s: float) -> bool:
         """Whether new runs may be placed here."""
-        self.looks_count += 1
+        self.checks_count += 1
         return super().is_usable(now_s)
 
 
-class RuleTests(unittest.TestCase):
-    """Guards against a start on a worker that must not run a task."""
+class EligibilityTests(unittest.TestCase):
+    """Guards against a task on a worker that must not run it."""
 
     def setUp(self) -> None:
-        """Start with an empty book."""
+        """Start with an empty job table."""
         self.job_table = JobTable()
 
-    def test_room(self) -> None:
-        """Guards against more work than a worker holds."""
+    def test_resources(self) -> None:
+        """Guards against more runs than the resources of a worker allow."""
         fleet = make_fleet(
             make_worker('w1', capacity=Resources(5_000, 9_000, 0))
         )
@@ -93,13 +93,13 @@
         self.assertEqual({'w1': 2, 'w2': 2}, dict(counts))
 
     def test_draining_worker(self) -> None:
-        """Guards against new work on a worker that leaves."""
+        """Guards against new runs on a draining worker."""
         fleet = make_fleet(make_worker('w1', state=WorkerState.DRAINING))
         add_job(self.job_table, 'j', make_step())
         self.assertFalse(_plan(self.job_table, fleet))
 
-    def test_worker_that_fails_everything(self) -> None:
-        """Guards against a worker that burns the attempts of all jobs."""
+    def test_quarantined_worker(self) -> None:
+        """Guards against a faulty worker that uses up the attempts of jobs."""
         bad = make_worker('w1')
         for _ in range(3):
             bad.record_outcome(has_failed=True, now_s=0)
@@ -108,11 +108,11 @@
         planned = _plan(self.job_table, fleet)
         self.assertEqual({'w2'}, {run.worker_id for run in planned})
 
-    def test_failing_worker_is_tried_again(self) -> None:
-        """Guards against room that stays closed long after the failures.
+    def test_quarantine_ends(self) -> None:
+        """Guards against a quarantine that lasts long after the failures.
 
         A lasting task has to start again within six seconds where there is
-        room, so a worker must not stay closed for longer.
+        capacity, so no worker may stay quarantined for longer.
         """
         worker = make_worker('w1')
         for _ in range(40):
@@ -121,7 +121,7 @@
         self.assertTrue(worker.is_usable(6))
 
     def test_failed_task_goes_elsewhere(self) -> None:
-        """Guards against a task that fails again where it failed."""
+        """Guards against a task that is placed again where it failed."""
         fleet = make_fleet(make_worker('w1'), make_worker('w2'))
         job = add_job(self.job_table, 'j', make_step())
         first_task(job).failed_workers.add(make_worker('w1').worker_id)
@@ -142,7 +142,7 @@
         self.assertEqual({'w1'}, {run.worker_id for run in planned})
 
     def test_gang_is_whole_or_nothing(self) -> None:
-        """Guards against a part of a gang that holds room and waits."""
+        """Guards against a part of a gang that reserves resources and waits."""
         small = Resources(4_000, 9_000, 0)
         fleet = make_fleet(
             make_worker('w1', capacity=small, labels=('a', 'r1')),
@@ -172,10 +172,10 @@
 
 
 class OrderTests(unittest.TestCase):
-    """A burst of jobs for which there is not enough room at once."""
+    """A burst of jobs that do not fit on the workers at once."""
 
     def test_least_slack_first(self) -> None:
-        """Guards against a job that waits behind one with time to spare."""
+        """Guards against a job that waits behind one with more slack."""
         job_table = JobTable()
         fleet = make_fleet(
             make_worker('w1', capacity=Resources(2_000, 9_000, 0))
@@ -185,8 +185,8 @@
         planned = _plan(job_table, fleet)
         self.assertEqual(['short.0.0.0'], [run.task.name for run in planned])
 
-    def test_hopeless_last(self) -> None:
-        """Guards against room for jobs that are late whatever is done."""
+    def test_late_jobs_last(self) -> None:
+        """Guards against late jobs that take the place of one still on time."""
         job_table = JobTable()
         fleet = make_fleet(
             make_worker('w1', capacity=Resources(2_000, 9_000, 0))
@@ -197,10 +197,10 @@
         self.assertEqual(['fresh.0.0.0'], [run.task.name for run in planned])
 
     def test_waiting_steps_cost_little(self) -> None:
-        """Guards against a burst that compares each step with each worker.
+        """Guards against a planner that checks each step on each worker.
 
-        Sixty steps wait for a full fleet; the workers may be looked at for
-        a few of them only, and a smaller step still gets what is left.
+        Sixty steps wait for a full fleet; the workers may be checked for only
+        a few of them, and a smaller step still gets the capacity that is left.
         """
         job_table = JobTable()
         workers = [
@@ -214,8 +214,8 @@
         add_job(job_table, 'small', make_step(5, estimate_ms=9_000))
         names = {run.task.name for run in _plan(job_table, fleet)}
         self.assertIn('small.0.0.0', names)
-        looks_count = sum(worker.looks_count for worker in workers)
-        self.assertLess(looks_count, 400)
+        checks_count = sum(worker.checks_count for worker in workers)
+        self.assertLess(checks_count, 400)
 
     def test_tiers(self) -> None:
         """Guards against a job that counts as useless too early."""
@@ -233,7 +233,7 @@
 
 
 class InterferenceTests(unittest.TestCase):
-    """Filling tasks beside serving tasks that they disturb by pair."""
+    """Filling tasks that disturb serving tasks, depending on both images."""
 
     def setUp(self) -> None:
         """Serve image ``s`` on w1 and image ``t`` on w2."""
@@ -253,30 +253,30 @@
                 start_run(self.job_table, task, worker)
         self.model = InterferenceModel()
 
-    def _teach(self, serving: str, factor: float) -> None:
-        """Teach how many times a tenth of a worker lengthens a tail."""
-        rest = 1 / 0.45
+    def _train(self, serving: str, factor: float) -> None:
+        """Train the model: a tenth of a worker multiplies the tail latency."""
+        baseline = 1 / 0.45
         for _ in range(60):
             self.model.observe(
                 serving,
                 [FillingLoad('fill', 0.1)],
-                lost_headroom=rest - rest / factor,
+                lost_headroom=baseline - baseline / factor,
                 variance=0.05,
             )
 
-    def test_goes_where_it_is_tolerated(self) -> None:
-        """Guards against filling work beside what it disturbs."""
-        self._teach('s', 6)
-        self._teach('t', 1)
+    def test_filling_avoids_disturbed_images(self) -> None:
+        """Guards against filling tasks beside what they disturb most."""
+        self._train('s', 6)
+        self._train('t', 1)
         fills = make_step(3, cpu_millicores=3_000, image='fill', fills=True)
         add_job(self.job_table, 'j', fills)
         planned = _plan(self.job_table, self.fleet, model=self.model)
         self.assertEqual({'w2'}, {run.worker_id for run in planned})
 
-    def test_waits_while_it_has_time(self) -> None:
-        """Guards against harm that waiting a little would avoid."""
-        self._teach('s', 6)
-        self._teach('t', 6)
+    def test_filling_waits_while_it_has_slack(self) -> None:
+        """Guards against harm by a filling task that could still wait."""
+        self._train('s', 6)
+        self._train('t', 6)
         fills = make_step(2, cpu_millicores=3_000, image='fill', fills=True)
         add_job(self.job_table, 'j', fills)
         add_job(self.job_table, 'busy', make_step(4, cpu_millicores=6_000))
@@ -287,7 +287,7 @@
         self.assertEqual(2, len(late))
         self.assertEqual(1, len({run.worker_id for run in late}))
 
-    def test_images_are_kept_apart(self) -> None:
+    def test_serving_images_are_separated(self) -> None:
         """Guards against serving tasks of two images on one worker.
 
         Such a worker tolerates only the filling images that both tolerate.
@@ -310,14 +310,14 @@
             images = {run.step.image for run in worker.serving_runs()}
             self.assertLessEqual(len(images), 1)
 
-    def test_spoilt_workers_are_no_dump(self) -> None:
-        """Guards against filling work that keeps a tail over its target.
+    def test_more_filling_beside_tail_over_target(self) -> None:
+        """Guards against filling tasks that keep a tail over its target.
 
-        A tail that is over its target now would recover once the present
-        filling tasks have ended, so more of them are not free of cost.
+        A tail latency over its target would recover once the present filling
+        tasks have ended, so adding more of them does harm.
         """
-        self._teach('s', 6)
-        self._teach('t', 6)
+        self._train('s', 6)
+        self._train('t', 6)
         present = make_step(3, cpu_millicores=4_000, image='fill', fills=True)
         job = add_job(self.job_table, 'present', present)
         for task in job.occurrences[0].steps[0].tasks:
@@ -326,7 +326,7 @@
         self.assertFalse(_plan(self.job_table, self.fleet, model=self.model))
 
     def test_weights_are_learned(self) -> None:
-        """Guards against a model that mixes up two causes."""
+        """Guards against a model that confuses the effects of two images."""
         for number in range(300):
             shares = (0.1, 0.02) if number % 2 else (0.02, 0.1)
             pressures = [
@@ -342,8 +342,8 @@
         self.assertAlmostEqual(7, self.model.weight('heavy', 's'), delta=0.7)
         self.assertAlmostEqual(0.5, self.model.weight('light', 's'), delta=0.7)
 
-    def test_room_that_is_used(self) -> None:
-        """Guards against filling work beyond the processors."""
+    def test_filling_stays_within_unused_cpu(self) -> None:
+        """Guards against more filling tasks than there is unused CPU."""
         fills = make_step(40, cpu_millicores=3_000, image='x', fills=True)
         add_job(self.job_table, 'j', fills)
         _plan(self.job_table, self.fleet, now_s=1.9)
