--- a/src/marjoramwharf/scheduling/headroom.py
+++ b/src/marjoramwharf/scheduling/headroom.py
@@ -21,8 +21,8 @@
 
 _FULL_PERCENT = 100
 
-# A filling task runs for a second or two, so the least headroom between soon
-# after its start and its end counts.
+# A filling task runs for a second or two, so the lower one of the forecasts for
+# soon after its start and for its end counts.
 _FORECAST_START_S = 0.4
 _FORECAST_END_S = 1.4
 
@@ -164,16 +164,18 @@
 def _lost_jobs(
     step: Step,
     added_count: float,
-    before: float,
+    present_count: float,
     job_millicores: float,
 ) -> float:
     """Return the harm, in jobs of mean size, of more tasks over their target.
 
-    ``before`` tasks are over it already. A large job meets interference on
+    ``present_count`` tasks are over it already. A large job meets interference on
     more workers, so it counts more than in proportion to its size.
     """
     per_task = _OVER_TARGET_WEIGHT / step.request.count
-    lost = min(1, (before + added_count) * per_task) - min(1, before * per_task)
+    lost = min(1, (present_count + added_count) * per_task) - min(
+        1, present_count * per_task
+    )
     size = step.request.count * step.request.cpu_millicores / job_millicores
     return lost * size * max(1, size)
 
--- a/src/marjoramwharf/scheduling/pacing.py
+++ b/src/marjoramwharf/scheduling/pacing.py
@@ -48,7 +48,7 @@
     """Chooses the paces of the filling runs on one worker.
 
     Filling runs must not keep any tail latency over its target for
-    ``max_over_target_s`` on end.
+    ``max_over_target_s`` without a break.
     """
 
     worker: Worker
--- a/tests/scheduling/test_baseline_headroom.py
+++ b/tests/scheduling/test_baseline_headroom.py
@@ -19,15 +19,15 @@
         reading.
         """
         rng = random.Random(7)
-        baseline = BaselineHeadroom()
+        load = BaselineHeadroom()
         forecast_error: float = 0
         last_reading_error: float = 0
         for poll in range(400):
             at_s = poll / 4
             reading = _true_headroom(at_s) + rng.gauss(0, 0.22)
-            baseline.observe(reading, at_s=at_s, variance=0.05)
+            load.observe(reading, at_s=at_s, variance=0.05)
             actual = _true_headroom(at_s + 0.5)
-            forecast_error += abs(baseline.forecast(at_s=at_s + 0.5) - actual)
+            forecast_error += abs(load.forecast(at_s=at_s + 0.5) - actual)
             last_reading_error += abs(reading - actual)
         self.assertLess(forecast_error, last_reading_error)
 
@@ -37,19 +37,19 @@
 
     def test_old_readings_decay(self) -> None:
         """Guards against a forecast from readings of long ago."""
-        baseline = BaselineHeadroom()
+        load = BaselineHeadroom()
         for second in range(10):
-            baseline.observe(3, at_s=second, variance=0.05)
+            load.observe(3, at_s=second, variance=0.05)
         for second in range(20, 25):
-            baseline.observe(1.5, at_s=second, variance=0.05)
-        self.assertAlmostEqual(1.5, baseline.forecast(at_s=25), delta=0.1)
+            load.observe(1.5, at_s=second, variance=0.05)
+        self.assertAlmostEqual(1.5, load.forecast(at_s=25), delta=0.1)
 
     def test_readings_out_of_order(self) -> None:
         """Guards against a wrong fit after a reading older than the latest."""
-        baseline = BaselineHeadroom()
-        baseline.observe(2, at_s=10, variance=0.05)
-        baseline.observe(2, at_s=9.9, variance=0.05)
-        self.assertAlmostEqual(2, baseline.forecast(at_s=10), delta=0.1)
+        load = BaselineHeadroom()
+        load.observe(2, at_s=10, variance=0.05)
+        load.observe(2, at_s=9.9, variance=0.05)
+        self.assertAlmostEqual(2, load.forecast(at_s=10), delta=0.1)
 
 
 def _true_headroom(at_s: float) -> float:
