--- a/src/marjoramwharf/cells/advice.py
+++ b/src/marjoramwharf/cells/advice.py
@@ -20,8 +20,8 @@
 from marjoramwharf.ids import WorkerId
 from marjoramwharf.logs import part_logger
 from marjoramwharf.scheduling.fleet import Fleet
-from marjoramwharf.scheduling.job_book import JobBook, job_of
 from marjoramwharf.scheduling.job_state import Step, Task
+from marjoramwharf.scheduling.job_table import JobTable, job_of
 from marjoramwharf.scheduling.ordering import queue_of
 from marjoramwharf.scheduling.policy import AdvicePolicy, Configuration
 
@@ -77,7 +77,7 @@
     """
 
     client: AdviceClient | None
-    book: JobBook
+    job_table: JobTable
     fleet: Fleet
     configuration: Callable[[], Configuration | None]
     on_change: Callable[[], None]
@@ -119,10 +119,12 @@
 
     def _next_task_without_tickets(self) -> Task | None:
         """Return the first ready task whose step has no usable tickets."""
-        ready_step_ids = {id(task.step) for task in self.book.ready.values()}
+        ready_step_ids = {
+            id(task.step) for task in self.job_table.ready.values()
+        }
         for step_id in self._tickets_by_step.keys() - ready_step_ids:
             self._tickets_by_step.pop(step_id)
-        for task in self.book.ready.values():
+        for task in self.job_table.ready.values():
             if self._advice_policy(task) is not None:
                 cached = self._tickets_by_step.get(id(task.step))
                 if cached is None or cached.usable_until_s <= boot_s():
@@ -165,10 +167,15 @@
         service = queue_of(task, queues).service or job_of(task).request.service
         usable = [
             worker
-            for worker in self.fleet.of_service(service)
-            if worker.is_usable(now_s) and worker.could_hold(task.step.request)
+            for worker in self.fleet.workers_of(service)
+            if worker.is_usable(now_s)
+            and worker.could_ever_run(task.step.request)
         ]
-        usable.sort(key=lambda worker: worker.cpu_used + worker.fill_cpu)
+        usable.sort(
+            key=lambda worker: (
+                worker.reserved_millicores + worker.filling_millicores
+            )
+        )
         return [
             worker.worker_id
             for worker in usable
--- a/src/marjoramwharf/cells/cell.py
+++ b/src/marjoramwharf/cells/cell.py
@@ -30,7 +30,6 @@
 from marjoramwharf.logs import part_logger
 from marjoramwharf.scheduling.fleet import WorkerState
 from marjoramwharf.scheduling.interference import InterferenceModel
-from marjoramwharf.scheduling.job_book import JobBook, job_of
 from marjoramwharf.scheduling.job_state import (
     Job,
     JobPhase,
@@ -38,6 +37,7 @@
     RunEnd,
     RunPhase,
 )
+from marjoramwharf.scheduling.job_table import JobTable, job_of
 from marjoramwharf.scheduling.ordering import queue_of
 from marjoramwharf.scheduling.planner import Planner
 from marjoramwharf.scheduling.policy import QueuePolicy
@@ -78,7 +78,7 @@
     is_loaded: bool = False
     is_stopping: bool = False
     acquired_s: float = field(default_factory=boot_s)
-    book: JobBook = field(default_factory=JobBook)
+    job_table: JobTable = field(default_factory=JobTable)
     worker_registry: WorkerRegistry = field(init=False)
     _model: InterferenceModel = field(default_factory=InterferenceModel)
     _plan_signal: AutoResetEvent = field(default_factory=AutoResetEvent)
@@ -96,7 +96,7 @@
         self.worker_registry = WorkerRegistry(
             prefix=context.workers_prefix,
             decode=context.decode_listing,
-            book=self.book,
+            job_table=self.job_table,
             model=self._model,
             owner=self,
             context=LinkContext(
@@ -113,14 +113,14 @@
         self._progress_writer = ProgressWriter(
             store=context.store,
             cell=ownership.cell,
-            book=self.book,
+            job_table=self.job_table,
             owner=ownership.guard,
             on_stored=self._on_job_stored,
             counters=context.counters,
         )
         self._inbox = Inbox(
             cell=ownership.cell,
-            book=self.book,
+            job_table=self.job_table,
             on_cancelled=self._stop_surplus_runs,
             on_change=self._wake_planner_and_writer,
         )
@@ -132,13 +132,13 @@
         )
         self._ticket_cache = TicketCache(
             client=context.advice_client,
-            book=self.book,
+            job_table=self.job_table,
             fleet=self.worker_registry.fleet,
             configuration=context.configuration,
             on_change=self._plan_signal.set,
         )
         self._planner = Planner(
-            self.book,
+            self.job_table,
             self.worker_registry.fleet,
             self._model,
             self._ticket_cache.tickets,
@@ -165,7 +165,7 @@
             'cell loaded',
             cell=self.ownership.cell,
             fence=self.ownership.guard.mod_revision,
-            jobs=len(self.book.jobs),
+            jobs=len(self.job_table.jobs),
             took_s=round(boot_s() - began_s, 3),
         )
         inbox = Follower(
@@ -199,10 +199,10 @@
 
         A job counts as done or failed only once that is stored.
         """
-        job = self.book.jobs.get(job_id)
+        job = self.job_table.jobs.get(job_id)
         if job is None:
             return None
-        final = _FINAL_STATES.get(job.shown_phase)
+        final = _FINAL_STATES.get(job.stored_phase)
         if final is not None:
             return final
         if job.phase is JobPhase.CANCELLED:
@@ -216,20 +216,20 @@
 
         While no worker is known, every job counts as servable.
         """
-        workers = self.worker_registry.fleet.of_service(request.service)
+        workers = self.worker_registry.fleet.workers_of(request.service)
         available = [
             worker
             for worker in workers
             if worker.listing.state is not WorkerState.GONE
         ]
         return not available or all(
-            any(worker.could_hold(step) for worker in available)
+            any(worker.could_ever_run(step) for worker in available)
             for step in request.steps
         )
 
     def find_run(self, task: TaskId, number: int) -> Run | None:
         """Return a run that has not ended, by its task and number."""
-        return self.book.find_run(task, number)
+        return self.job_table.find_run(task, number)
 
     def may_extend_leases(self) -> bool:
         """Whether this entry may still extend the leases of runs."""
@@ -244,7 +244,7 @@
         if run.started_s is None:
             waited_s = boot_s() - run.task.ready_since_s
             self.context.counters.wait_samples_s.append(waited_s)
-        self.book.started(run, now_s=boot_s())
+        self.job_table.mark_started(run, now_s=boot_s())
         self._progress_writer.wake()
 
     def end_run(self, run: Run, how: RunEnd, checkpoint: str) -> Job:
@@ -261,7 +261,7 @@
         self.worker_registry.release(run, how, now_s=now_s)
         if how not in {RunEnd.DONE, RunEnd.STOPPED}:
             log_end(run, how)
-        self.book.end(
+        self.job_table.end_run(
             run,
             how,
             checkpoint=checkpoint,
@@ -298,7 +298,7 @@
                 await trio.sleep(min(_PLAN_PERIOD_S, took_s * _PAUSE_FACTOR))
 
     def _next_plan_pause_s(self) -> float:
-        due_ms = self.book.next_due_ms()
+        due_ms = self.job_table.next_due_ms()
         if due_ms is None:
             return _PLAN_PERIOD_S
         until_due_s = (due_ms - wall_ms()) / _MS_PER_S
@@ -310,7 +310,7 @@
             return
         now_s = boot_s()
         now_ms = wall_ms()
-        self.book.advance(now_s=now_s, now_ms=now_ms)
+        self.job_table.open_due_occurrences(now_s=now_s, now_ms=now_ms)
         planned = self._planner.plan(
             configuration.queues,
             now_s=now_s,
@@ -334,7 +334,7 @@
             self.end_run(run, RunEnd.VANISHED, '')
 
     def _stop_surplus_runs(self, job: Job) -> None:
-        for run in self.book.surplus_runs(job):
+        for run in self.job_table.surplus_runs(job):
             if run.phase is RunPhase.PLANNED:
                 self.end_run(run, RunEnd.VANISHED, '')
             else:
@@ -351,7 +351,7 @@
             self._end_runs_of_unreached_workers()
             if not self.is_stopping and self.ownership.is_current():
                 self._run_mover.move_all(now_s=boot_s())
-            for job in tuple(self.book.jobs.values()):
+            for job in tuple(self.job_table.jobs.values()):
                 if job.occurrences:
                     self._stop_surplus_runs(job)
             self.worker_registry.remove_gone_workers()
@@ -359,7 +359,7 @@
                 self.context.store,
                 self.ownership.cell,
                 self.ownership.guard,
-                self.book,
+                self.job_table,
                 self._inbox,
                 retention_ms=self.context.bounds.status_ms,
             )
@@ -373,7 +373,7 @@
         max_lease_s *= _SLOW_CLOCK_FACTOR
         if boot_s() < self.acquired_s + max_lease_s + FORMER_OWNER_SLACK_S:
             return
-        for run in tuple(self.book.live_runs()):
+        for run in tuple(self.job_table.live_runs()):
             is_unpolled = self.worker_registry.was_never_polled(run.worker_id)
             if is_unpolled and run.phase is not RunPhase.PLANNED:
                 self.end_run(run, RunEnd.VANISHED, '')
--- a/src/marjoramwharf/cells/intake.py
+++ b/src/marjoramwharf/cells/intake.py
@@ -202,7 +202,7 @@
         """
         cell = self.local_cell()
         if cell is not None and cell.is_loaded:
-            return cell.book.waiting_count(queue)
+            return cell.job_table.waiting_count(queue)
         return await self.owner_link.waiting_count(queue)
 
     def _log_accepted(
--- a/src/marjoramwharf/cells/job_cleanup.py
+++ b/src/marjoramwharf/cells/job_cleanup.py
@@ -15,8 +15,8 @@
 from marjoramwharf.errors import Failure
 from marjoramwharf.links.store import Committed, Guard, PollingStore, Write
 from marjoramwharf.logs import part_logger
-from marjoramwharf.scheduling.job_book import JobBook
 from marjoramwharf.scheduling.job_state import Job
+from marjoramwharf.scheduling.job_table import JobTable
 
 _LOG = part_logger('cell')
 _MS_PER_S = 1_000
@@ -33,7 +33,7 @@
     store: PollingStore,
     cell: CellId,
     owner: Guard,
-    book: JobBook,
+    job_table: JobTable,
     inbox: Inbox,
     *,
     retention_ms: int,
@@ -43,13 +43,15 @@
     Stops at the first failed or refused write; the next call tries again.
     """
     min_age_s = retention_ms / _MS_PER_S + _RETENTION_MARGIN_S
-    expired = [job for job in book.jobs.values() if _is_expired(job, min_age_s)]
+    expired = [
+        job for job in job_table.jobs.values() if _is_expired(job, min_age_s)
+    ]
     for start in range(0, len(expired), _JOBS_PER_COMMIT):
         batch = expired[start : start + _JOBS_PER_COMMIT]
         if not await _remove_from_store(store, cell, owner, batch):
             return
         for job in batch:
-            book.forget(job.job_id)
+            job_table.forget(job.job_id)
             inbox.forget(job.job_id)
 
 
--- a/src/marjoramwharf/cells/model_saver.py
+++ b/src/marjoramwharf/cells/model_saver.py
@@ -58,7 +58,7 @@
         saved_body: bytes | None = None
         while True:
             await trio.sleep(_SAVE_PERIOD_S)
-            weights = self.model.known_weights()[:_MAX_PAIRS_COUNT]
+            weights = self.model.learned_weights()[:_MAX_PAIRS_COUNT]
             body = encode(ModelRecord(weights))
             if body != saved_body and weights and await self._save(body):
                 saved_body = body
--- a/src/marjoramwharf/cells/owner_link.py
+++ b/src/marjoramwharf/cells/owner_link.py
@@ -143,7 +143,7 @@
         return ttypes.JobReply(status=status, body=b'')
     argument = call.body.decode()
     if call.method == _WAITING_METHOD:
-        count = cell.book.waiting_count(argument)
+        count = cell.job_table.waiting_count(argument)
         return ttypes.JobReply(status=_STATUS_OK, body=str(count).encode())
     state = cell.status(JobId(argument))
     if state is None:
--- a/src/marjoramwharf/cells/progress_writer.py
+++ b/src/marjoramwharf/cells/progress_writer.py
@@ -36,8 +36,8 @@
     Write,
 )
 from marjoramwharf.logs import part_logger
-from marjoramwharf.scheduling.job_book import JobBook
 from marjoramwharf.scheduling.job_state import Job, JobPhase
+from marjoramwharf.scheduling.job_table import JobTable
 
 _LOG = part_logger('progress')
 
@@ -79,7 +79,7 @@
 
     store: PollingStore
     cell: CellId
-    book: JobBook
+    job_table: JobTable
     owner: Guard
     on_stored: OnStored
     counters: CellCounters = field(default_factory=CellCounters)
@@ -104,8 +104,8 @@
 
     async def flush(self) -> None:
         """Mark all changes as urgent, and return when no job is unstored."""
-        while self.book.unstored:
-            for job in self.book.unstored.values():
+        while self.job_table.unstored:
+            for job in self.job_table.unstored.values():
                 job.is_urgent = True
             self.wake()
             await trio.sleep(0.01)
@@ -137,7 +137,7 @@
         """
         waiting = [
             job
-            for job_id, job in self.book.unstored.items()
+            for job_id, job in self.job_table.unstored.items()
             if job_id not in self._in_flight
         ]
         now_s = trio.current_time()
@@ -206,10 +206,10 @@
         job = snapshot.job
         job.stored_revision = revision
         job.stored_version = max(job.stored_version, snapshot.version)
-        job.shown_phase = snapshot.phase
+        job.stored_phase = snapshot.phase
         self._unanswered.pop(job.job_id, None)
         if job.version == snapshot.version:
-            self.book.unstored.pop(job.job_id, None)
+            self.job_table.unstored.pop(job.job_id, None)
         self.on_stored(job)
 
     def _resolve_conflict(
--- a/src/marjoramwharf/cells/records.py
+++ b/src/marjoramwharf/cells/records.py
@@ -160,13 +160,13 @@
 
     The runs are ``UNCERTAIN`` until their workers report on them.
     """
-    job = Job(request, learned_s=now_s, finished_s=now_s)
+    job = Job(request, known_since_s=now_s, finished_s=now_s)
     if progress is None:
         if not request.repeat_count:
             job.open_occurrence(0)
         return job
     job.phase = progress.phase
-    job.shown_phase = progress.phase
+    job.stored_phase = progress.phase
     job.has_begun = progress.has_begun
     job.stored_revision = revision
     for number in progress.open_occurrences:
@@ -215,7 +215,7 @@
             worker_id=WorkerId(run_record.worker_id),
             born_ms=run_record.born_ms,
             phase=RunPhase.UNCERTAIN,
-            placed_s=now_s,
-            moved_s=now_s,
+            planned_s=now_s,
+            progressed_s=now_s,
             checkpoint=record.checkpoint,
         )
--- a/src/marjoramwharf/cells/run_mover.py
+++ b/src/marjoramwharf/cells/run_mover.py
@@ -12,7 +12,11 @@
 from marjoramwharf.scheduling.job_state import Run
 from marjoramwharf.scheduling.planner import Planner
 from marjoramwharf.scheduling.policy import QueuePolicy
-from marjoramwharf.scheduling.rescue import Rescue, Trouble, find_rescues
+from marjoramwharf.scheduling.run_moves import (
+    MoveReason,
+    RunMove,
+    find_run_moves,
+)
 
 _LOG = part_logger('cell')
 
@@ -37,16 +41,18 @@
     def move_all(self, *, now_s: float) -> None:
         """Move each run that should leave its worker and has another place."""
         for worker in self.worker_registry.fleet.workers.values():
-            for rescue in tuple(find_rescues(worker, now_s=now_s)):
+            for rescue in tuple(find_run_moves(worker, now_s=now_s)):
                 self._move_run(rescue, worker, now_s)
 
-    def _move_run(self, rescue: Rescue, worker: Worker, now_s: float) -> None:
+    def _move_run(self, rescue: RunMove, worker: Worker, now_s: float) -> None:
         run = rescue.run
         service = self.queue_of(run).service
-        if rescue.trouble is not Trouble.LEAVING:
+        if rescue.trouble is not MoveReason.LEAVING:
             worker.suspect_until_s = now_s + _SUSPECT_DURATION_S
             run.task.failed_workers.add(worker.worker_id)
-        if not self.planner.has_place(run.task, service, now_s=now_s):
+        if not self.planner.has_alternative_worker(
+            run.task, service, now_s=now_s
+        ):
             return
         may_duplicate = run.step.may_duplicate and not run.step.is_lasting
         if may_duplicate and len(run.task.runs) > 1:
@@ -62,7 +68,7 @@
         )
         self.counters.moved_runs_count += 1
         if may_duplicate:
-            self.planner.duplicate(run.task, service, now_s=now_s)
+            self.planner.plan_duplicate(run.task, service, now_s=now_s)
             self.on_planned()
         else:
             self.worker_registry.stop(run)
--- a/src/marjoramwharf/cells/worker_link.py
+++ b/src/marjoramwharf/cells/worker_link.py
@@ -188,7 +188,7 @@
         if not self.worker.is_reachable:
             _LOG.info('worker reached', worker=self.worker.worker_id)
         self.worker.is_reachable = True
-        self.worker.looked_s = now_s
+        self.worker.polled_s = now_s
         for ended in report.ended:
             self._process_end(ended)
         self.acknowledge_stored_ends()
@@ -238,7 +238,10 @@
         """
         if run.phase is RunPhase.PLANNED:
             return
-        if run.is_doubtful and now_s - run.placed_s < _LATE_ORDER_WINDOW_S:
+        if (
+            run.is_start_unconfirmed
+            and now_s - run.planned_s < _LATE_ORDER_WINDOW_S
+        ):
             run.phase = RunPhase.ORDERED
             run.stop_answered_s = None
             nursery.start_soon(self.orders.stop, run)
@@ -268,14 +271,14 @@
             return
         if run.phase in {RunPhase.ORDERED, RunPhase.UNCERTAIN}:
             self.owner.on_run_started(run)
-        run.read_s = now_s
-        if not run.is_seen:
-            run.is_seen = True
+        run.progress_read_s = now_s
+        if not run.is_listed:
+            run.is_listed = True
             run.resumed_percent = run_report.percent
-            run.moved_s = now_s
+            run.progressed_s = now_s
         if run_report.percent != run.percent:
             run.percent = run_report.percent
-            run.moved_s = now_s
+            run.progressed_s = now_s
         run.reading = run_report.reading
         run.checkpoint = run_report.checkpoint or run.checkpoint
 
--- a/src/marjoramwharf/cells/worker_orders.py
+++ b/src/marjoramwharf/cells/worker_orders.py
@@ -19,8 +19,8 @@
 )
 from marjoramwharf.logs import part_logger
 from marjoramwharf.scheduling.fleet import Worker
-from marjoramwharf.scheduling.job_book import job_of
 from marjoramwharf.scheduling.job_state import Run, RunEnd, RunPhase
+from marjoramwharf.scheduling.job_table import job_of
 
 _LOG = part_logger('worker')
 
@@ -78,7 +78,7 @@
                 return
             if answer.outcome is not OrderOutcome.UNKNOWN:
                 break
-            run.is_doubtful = True
+            run.is_start_unconfirmed = True
         self.context.counters.starts[answer.outcome] += 1
         if answer.outcome in _STARTED_OUTCOMES:
             self.owner.on_run_started(run)
@@ -161,7 +161,7 @@
             self.worker.not_before_s = now_s + _FULL_WORKER_PAUSE_S
         else:
             self.worker.not_before_s = now_s + _UNHEALTHY_WORKER_PAUSE_S
-        if run.is_doubtful:
+        if run.is_start_unconfirmed:
             await self.stop(run)
         else:
             self.owner.end_run(run, RunEnd.VANISHED, '')
--- a/src/marjoramwharf/cells/worker_registry.py
+++ b/src/marjoramwharf/cells/worker_registry.py
@@ -21,10 +21,10 @@
     WorkerState,
 )
 from marjoramwharf.scheduling.interference import InterferenceModel
-from marjoramwharf.scheduling.job_book import JobBook
 from marjoramwharf.scheduling.job_state import Run, RunEnd
-from marjoramwharf.scheduling.pacing import PaceKeeper
-from marjoramwharf.scheduling.readings import ReadingLearner
+from marjoramwharf.scheduling.job_table import JobTable
+from marjoramwharf.scheduling.pacing import PaceController
+from marjoramwharf.scheduling.readings import InterferenceLearner
 
 _LOG = part_logger('worker')
 
@@ -45,7 +45,7 @@
 
     prefix: str
     decode: ListingDecoder
-    book: JobBook
+    job_table: JobTable
     model: InterferenceModel
     owner: LinkOwner
     context: LinkContext
@@ -54,8 +54,10 @@
     on_change: Callable[[], None]
     fleet: Fleet = field(default_factory=Fleet)
     links: dict[WorkerId, WorkerLink] = field(default_factory=dict)
-    _pace_controllers: dict[WorkerId, PaceKeeper] = field(default_factory=dict)
-    _learners: dict[WorkerId, ReadingLearner] = field(default_factory=dict)
+    _pace_controllers: dict[WorkerId, PaceController] = field(
+        default_factory=dict
+    )
+    _learners: dict[WorkerId, InterferenceLearner] = field(default_factory=dict)
     _nursery: trio.Nursery | None = None
 
     def attach(self, nursery: trio.Nursery) -> None:
@@ -104,9 +106,9 @@
         if worker is None:
             return
         worker.remove(run)
-        self._learners[worker.worker_id].note_end(run, now_s=now_s)
+        self._learners[worker.worker_id].record_end(run, now_s=now_s)
         if how in {RunEnd.DONE, RunEnd.FAILED}:
-            worker.note_outcome(
+            worker.record_outcome(
                 has_failed=how is RunEnd.FAILED,
                 now_s=now_s,
             )
@@ -128,9 +130,9 @@
                 percent=percent,
             )
             run.pace_percent = percent
-            run.paced_until_s = now_s
+            run.pace_changed_s = now_s
             self._nursery.start_soon(link.orders.pace, run, percent)
-        link.is_urgent = controller.needs_look()
+        link.is_urgent = controller.needs_early_poll()
 
     def was_never_polled(self, worker_id: WorkerId) -> bool:
         """Whether this owner has never had an answer from a worker."""
@@ -177,17 +179,17 @@
     def _add_worker(self, worker: Worker) -> None:
         worker_id = worker.worker_id
         self.fleet.workers[worker_id] = worker
-        for run in self.book.live_runs():
+        for run in self.job_table.live_runs():
             if run.worker_id == worker_id:
                 worker.add(run)
         link = WorkerLink(worker=worker, owner=self.owner, context=self.context)
         self.links[worker_id] = link
-        self._pace_controllers[worker_id] = PaceKeeper(
+        self._pace_controllers[worker_id] = PaceController(
             worker,
             self.model,
             self.harm_s,
         )
-        self._learners[worker_id] = ReadingLearner(worker, self.model)
+        self._learners[worker_id] = InterferenceLearner(worker, self.model)
         if self._nursery is not None:
             self._nursery.start_soon(link.run)
 
--- a/src/marjoramwharf/scheduling/fleet.py
+++ b/src/marjoramwharf/scheduling/fleet.py
@@ -1,4 +1,4 @@
-"""The workers of a cell, as its owner sees them, and what is placed on them."""
+"""The workers of a cell as its owner sees them, and the runs placed there."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 if TYPE_CHECKING:
     from marjoramwharf.scheduling.headroom import ExpectedHeadroom
 
-# Share of its weight that the outcome of a run keeps after one second.
+# Factor by which the weight of an outcome of a run decays in one second.
 _OUTCOME_DECAY_PER_S = 0.85
 
-# Nothing is placed on a worker with more failures than this, and this many
-# times more failures than successes.
-_QUARANTINE_WEIGHT = 2.2
-_QUARANTINE_RATIO = 2.0
+# A worker gets no new runs while its failure weight is above this weight and
+# above this multiple of its success weight.
+_QUARANTINE_FAILURE_WEIGHT = 2.2
+_QUARANTINE_FAILURE_RATIO = 2.0
 
-# Bounds the time until a worker that failed everything is tried again: its
-# room may be needed, and two failures close it anew.
-_LARGEST_FAILURE_WEIGHT = 4.0
+# Bounds the time until a worker that failed every run is tried again: its
+# capacity may be needed, and two more failures quarantine it again.
+_MAX_FAILURE_WEIGHT = 4.0
 
 
 @enum.unique
 class WorkerState(enum.Enum):
-    """What the platform's list says of a worker."""
+    """State of a worker in the platform's list."""
 
     READY = 'ready'
     DRAINING = 'draining'
@@ -39,8 +39,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
-    """Processors in thousandths, memory in MB, and accelerators."""
+class Resources:
+    """CPU in millicores, memory in MB, and a number of accelerators."""
 
     cpu_millicores: int = 0
     memory_mb: int = 0
@@ -49,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerListing:
-    """One worker of the platform's list.
+    """A worker as the platform's list describes it.
 
     ``born_ms`` is the wall-clock time of its start and tells its incarnations
-    apart. ``labels`` hold its kind and its rack; ``rack`` is the last one.
+    apart. ``labels`` hold its kind and, as the last one, its rack.
     ``remaining_ms`` is the least time that a draining worker has left.
     """
 
@@ -62,7 +62,7 @@
     port: int
     data_centre: DataCentreId
     state: WorkerState
-    capacity: Room
+    capacity: Resources
     labels: tuple[str, ...]
     born_ms: int = 0
     remaining_ms: int | None = None
@@ -76,15 +76,17 @@
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """A worker with the runs that count against its room.
-
-    ``is_reachable`` says whether its latest look was answered. Nothing new is
-    placed before ``not_before_s``. ``failure_weight`` and ``success_weight``
-    are the decayed numbers of runs that failed and that were done there. A
-    draining worker may be gone from ``leaves_s`` on. The latest look was at
-    ``looked_s``. While the worker ``is_paused``, what fills there is
-    held back and nothing that fills is added. ``headrooms`` and their key are
-    kept by :mod:`scheduling.headroom`.
+    """A worker and the runs that reserve its capacity.
+
+    ``is_reachable`` tells whether the latest poll of the worker was answered.
+    No run is placed there before ``not_before_s``, and preferably none before
+    ``suspect_until_s``. ``failure_weight`` and ``success_weight`` are the
+    numbers of runs that failed and that were done there, decayed over time. A
+    draining worker may be gone from ``leaves_s`` on. ``polled_s`` is the time
+    of the latest poll that was answered. While the worker
+    ``is_filling_paused``, its filling runs may be slowed or paused and none is
+    added. ``headrooms`` and their key are a cache of
+    :mod:`scheduling.headroom`, which a new ``version`` invalidates.
     """
 
     listing: WorkerListing
@@ -94,15 +96,15 @@
     suspect_until_s: float = 0
     failure_weight: float = 0
     success_weight: float = 0
-    outcome_noted_s: float = 0
+    outcome_recorded_s: float = 0
     leaves_s: float = 0
-    looked_s: float = 0
-    cpu_used: int = 0
-    memory_used: int = 0
-    accelerators_used: int = 0
-    fill_cpu: int = 0
-    serving_cpu: int = 0
-    is_paused: bool = False
+    polled_s: float = 0
+    reserved_millicores: int = 0
+    reserved_memory_mb: int = 0
+    reserved_accelerators_count: int = 0
+    filling_millicores: int = 0
+    serving_millicores: int = 0
+    is_filling_paused: bool = False
     version: int = 0
     headrooms_key: tuple[int, int] = (-1, -1)
     headrooms: tuple[ExpectedHeadroom, ...] = ()
@@ -115,45 +117,45 @@
         return self.listing.worker_id
 
     @property
-    def capacity(self) -> Room:
-        """The whole room of the worker."""
+    def capacity(self) -> Resources:
+        """All resources of the worker, free or not."""
         return self.listing.capacity
 
     def add(self, run: Run) -> None:
-        """Count a run against the worker's room."""
+        """Reserve the resources of a run."""
         if run not in self.runs:
             self.runs.add(run)
-            self._count(run, 1)
+            self._adjust_reserved(run, 1)
 
     def remove(self, run: Run) -> None:
-        """Free the room of a run."""
+        """Release the resources of a run."""
         if run in self.runs:
             self.runs.discard(run)
-            self._count(run, -1)
+            self._adjust_reserved(run, -1)
 
-    def count_of(self, step: Step) -> int:
-        """Return how many runs of a step count against this worker."""
+    def runs_count_of(self, step: Step) -> int:
+        """Return how many runs of a step are placed on this worker."""
         return self.step_counts[id(step)]
 
-    def note_outcome(self, *, has_failed: bool, now_s: float) -> None:
-        """Count a run that failed, or one that was done, on this worker."""
-        decay = self._decay(now_s)
+    def record_outcome(self, *, has_failed: bool, now_s: float) -> None:
+        """Add a run that failed or was done to the decayed weights."""
+        decay = self._decay_factor(now_s)
         failures = self.failure_weight * decay + has_failed
-        self.failure_weight = min(failures, _LARGEST_FAILURE_WEIGHT)
+        self.failure_weight = min(failures, _MAX_FAILURE_WEIGHT)
         self.success_weight = self.success_weight * decay + (not has_failed)
-        self.outcome_noted_s = now_s
+        self.outcome_recorded_s = now_s
 
-    def failures_at(self, now_s: float) -> float:
-        """Return the decayed number of failures."""
-        return self.failure_weight * self._decay(now_s)
+    def failure_weight_at(self, now_s: float) -> float:
+        """Return the failure weight, decayed until a time."""
+        return self.failure_weight * self._decay_factor(now_s)
 
-    def fails_all(self, now_s: float) -> bool:
-        """Whether nearly everything has failed here lately."""
-        failures = self.failures_at(now_s)
-        successes = self.success_weight * self._decay(now_s)
+    def is_quarantined(self, now_s: float) -> bool:
+        """Whether recent failures keep new runs off this worker."""
+        failures = self.failure_weight_at(now_s)
+        successes = self.success_weight * self._decay_factor(now_s)
         return (
-            failures > _QUARANTINE_WEIGHT
-            and failures > _QUARANTINE_RATIO * successes
+            failures > _QUARANTINE_FAILURE_WEIGHT
+            and failures > _QUARANTINE_FAILURE_RATIO * successes
         )
 
     def is_usable(self, now_s: float) -> bool:
@@ -162,68 +164,71 @@
             self.listing.state is WorkerState.READY
             and self.is_reachable
             and self.not_before_s <= now_s
-            and not self.fails_all(now_s)
+            and not self.is_quarantined(now_s)
         )
 
-    def holds(self, step: StepRequest) -> bool:
-        """Whether a task of a step fits beside what is placed here."""
-        free_memory = self.capacity.memory_mb - self.memory_used
+    def has_resources_for(self, step: StepRequest) -> bool:
+        """Whether the free resources suffice for a task of a step.
+
+        Filling tasks reserve no CPU, but none is added while they are paused.
+        """
+        free_memory = self.capacity.memory_mb - self.reserved_memory_mb
         free_accelerators = (
-            self.capacity.accelerators_count - self.accelerators_used
+            self.capacity.accelerators_count - self.reserved_accelerators_count
         )
         if step.memory_mb > free_memory:
             return False
         if step.accelerators_count > free_accelerators:
             return False
         if step.fills:
-            return not self.is_paused
+            return not self.is_filling_paused
         return step.cpu_millicores <= (
-            self.capacity.cpu_millicores - self.cpu_used
+            self.capacity.cpu_millicores - self.reserved_millicores
         )
 
-    def could_hold(self, step: StepRequest) -> bool:
-        """Whether an empty worker of this kind could run a task of a step."""
-        room = self.capacity
+    def could_ever_run(self, step: StepRequest) -> bool:
+        """Whether this worker, if it were empty, could run a task of a step."""
+        capacity = self.capacity
         if step.required_label and step.required_label not in (
             self.listing.labels
         ):
             return False
         return (
-            step.memory_mb <= room.memory_mb
-            and step.accelerators_count <= room.accelerators_count
-            and (step.fills or step.cpu_millicores <= room.cpu_millicores)
+            step.memory_mb <= capacity.memory_mb
+            and step.accelerators_count <= capacity.accelerators_count
+            and (step.fills or step.cpu_millicores <= capacity.cpu_millicores)
         )
 
     def serving_runs(self) -> Iterator[Run]:
-        """Return the runs with a tail latency to keep."""
+        """Return the runs that have a target for their tail latency."""
         return (run for run in self.runs if run.step.target_tail_ms)
 
     def filling_runs(self) -> Iterator[Run]:
-        """Return the runs that take what the others leave unused."""
+        """Return the runs that use the CPU that the others leave unused."""
         return (run for run in self.runs if run.step.fills)
 
-    def _decay(self, now_s: float) -> float:
-        passed_s = max(0, now_s - self.outcome_noted_s)
+    def _decay_factor(self, now_s: float) -> float:
+        passed_s = max(0, now_s - self.outcome_recorded_s)
         return math.pow(_OUTCOME_DECAY_PER_S, passed_s)
 
-    def touch(self) -> None:
-        """Note that readings or runs have changed."""
+    def mark_changed(self) -> None:
+        """Increment the version after a change of readings or runs."""
         self.version += 1
 
-    def _count(self, run: Run, sign: int) -> None:
-        self.touch()
+    def _adjust_reserved(self, run: Run, sign: int) -> None:
+        self.mark_changed()
         step = run.step
-        self.memory_used += sign * step.memory_mb
-        self.accelerators_used += sign * step.accelerators_count
+        self.reserved_memory_mb += sign * step.memory_mb
+        self.reserved_accelerators_count += sign * step.accelerators_count
         if step.fills:
-            self.fill_cpu += sign * step.cpu_millicores
+            self.filling_millicores += sign * step.cpu_millicores
         else:
-            self.cpu_used += sign * step.cpu_millicores
+            self.reserved_millicores += sign * step.cpu_millicores
         if step.target_tail_ms:
-            self.serving_cpu += sign * step.cpu_millicores
-        self._count_step(run, sign)
+            self.serving_millicores += sign * step.cpu_millicores
+        self._adjust_step_count(run, sign)
 
-    def _count_step(self, run: Run, sign: int) -> None:
+    def _adjust_step_count(self, run: Run, sign: int) -> None:
         key = id(run.task.step)
         self.step_counts[key] += sign
         if not self.step_counts[key]:
@@ -236,7 +241,7 @@
 
     workers: dict[WorkerId, Worker] = field(default_factory=dict)
 
-    def of_service(self, service: str) -> list[Worker]:
+    def workers_of(self, service: str) -> list[Worker]:
         """Return the workers of a service, in no special order."""
         return [
             worker
@@ -245,13 +250,13 @@
         ]
 
     def reserve(self, run: Run) -> None:
-        """Count a run against its worker, if that is known."""
+        """Reserve the resources of a run on its worker, if that is listed."""
         worker = self.workers.get(run.worker_id)
         if worker is not None:
             worker.add(run)
 
     def release(self, run: Run) -> None:
-        """Free what a run held."""
+        """Release the resources of a run on its worker, if that is listed."""
         worker = self.workers.get(run.worker_id)
         if worker is not None:
             worker.remove(run)
--- /dev/null
+++ b/src/marjoramwharf/scheduling/unplaceable_steps.py
@@ -0,0 +1,77 @@
+"""Steps that could not be placed in one pass of the planner.
+
+Load answered: bursts on large fleets, in which hundreds of steps wait. Free
+capacity only shrinks within a pass, so a step that needs no less than one that
+found no worker need not be compared with every worker.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from marjoramwharf.scheduling.workload import StepRequest
+
+
+@dataclass(frozen=True, slots=True)
+class _UnplaceableStep:
+    service: str
+    step: StepRequest
+    allowed_harm: float
+
+
+@dataclass(slots=True)
+class UnplaceableSteps:
+    """The steps of which a task found no worker in this pass."""
+
+    _steps: list[_UnplaceableStep] = field(default_factory=list)
+
+    def add(
+        self,
+        service: str,
+        step: StepRequest,
+        allowed_harm: float,
+    ) -> None:
+        """Record that no worker can take a task of a step now.
+
+        A step with a limit per worker is left out: the limit counts only its
+        own tasks, so it says nothing about other steps.
+        """
+        if not step.per_worker_limit:
+            self._steps.append(_UnplaceableStep(service, step, allowed_harm))
+
+    def covers(
+        self,
+        service: str,
+        step: StepRequest,
+        allowed_harm: float,
+    ) -> bool:
+        """Whether no worker can take a step because of one recorded before."""
+        return any(
+            recorded.service == service
+            and _needs_no_less(step, recorded.step)
+            and _allows_no_more_harm(step, allowed_harm, recorded)
+            for recorded in self._steps
+        )
+
+
+def _needs_no_less(step: StepRequest, other: StepRequest) -> bool:
+    if other.required_label not in {'', step.required_label}:
+        return False
+    if step.fills is not other.fills:
+        return False
+    return (
+        step.cpu_millicores >= other.cpu_millicores
+        and step.memory_mb >= other.memory_mb
+        and step.accelerators_count >= other.accelerators_count
+    )
+
+
+def _allows_no_more_harm(
+    step: StepRequest,
+    allowed_harm: float,
+    recorded: _UnplaceableStep,
+) -> bool:
+    if not step.fills:
+        return True
+    same_image = step.image == recorded.step.image
+    return same_image and allowed_harm <= recorded.allowed_harm
