--- a/src/marjoramwharf/_field_lines.py
+++ b/src/marjoramwharf/_field_lines.py
@@ -21,10 +21,10 @@
 )
 
 
-def field_lines(text: str) -> dict[str, int]:
+def find_field_lines(text: str) -> dict[str, int]:
     """Return the line of each field, by a path such as ``$.limits.team``.
 
-    >>> field_lines('{"a": [1, 2]}')['$.a[1]']
+    >>> find_field_lines('{"a": [1, 2]}')['$.a[1]']
     1
     """
     lines = {'$': 1}
@@ -35,7 +35,7 @@
     return lines
 
 
-def line_of(lines: dict[str, int], path: str) -> int:
+def find_line(lines: dict[str, int], path: str) -> int:
     """Return the line of a path, or of its nearest recorded parent."""
     while path not in lines and len(path) > 1:
         path = path[: max(path.rfind('.'), path.rfind('['), 1)]
--- a/src/marjoramwharf/batch/job_calls.py
+++ b/src/marjoramwharf/batch/job_calls.py
@@ -14,7 +14,7 @@
 from marjoramwharf.batch.job import JobSpec, JobState
 from marjoramwharf.batch.shard import JobShard, JobStatus
 from marjoramwharf.errors import Failure, NotOwner, Reason
-from marjoramwharf.http_errors import UNKNOWN_STATUS, ErrorBody, status_of
+from marjoramwharf.http_errors import UNKNOWN_STATUS, ErrorBody, get_http_status
 from marjoramwharf.ids import JobId, TeamId
 from marjoramwharf.json_bodies import decode_json
 
@@ -94,7 +94,7 @@
         message,
         retry_after_s,
     )
-    status = UNKNOWN_STATUS if is_unknown else status_of(reason)
+    status = UNKNOWN_STATUS if is_unknown else get_http_status(reason)
     return status, json.encode(body)
 
 
--- a/src/marjoramwharf/batch/journal.py
+++ b/src/marjoramwharf/batch/journal.py
@@ -37,7 +37,7 @@
 from marjoramwharf.links.store import (
     Conflict,
     Guard,
-    PrefixReading,
+    PrefixSnapshot,
     Store,
     Urgency,
     Write,
@@ -366,7 +366,7 @@
     return str(seq).zfill(12)
 
 
-def read_state(reading: PrefixReading) -> tuple[ShardState, int]:
+def read_state(reading: PrefixSnapshot) -> tuple[ShardState, int]:
     """Return the state of a shard and the number of its last log entry."""
     entries: dict[int, bytes] = {}
     snapshots: dict[str, dict[str, bytes]] = {}
--- a/src/marjoramwharf/cells/cell.py
+++ b/src/marjoramwharf/cells/cell.py
@@ -25,7 +25,7 @@
 from marjoramwharf.cells.status import ShownState
 from marjoramwharf.cells.worker_board import WorkerBoard
 from marjoramwharf.ids import JobId, TaskId, WorkerId
-from marjoramwharf.links.follower import Follower
+from marjoramwharf.links.prefix_watcher import PrefixWatcher
 from marjoramwharf.logs import part_logger
 from marjoramwharf.scheduling.interference import InterferenceModel
 from marjoramwharf.scheduling.job_book import JobBook, job_of
@@ -163,16 +163,16 @@
             jobs=len(self.book.jobs),
             took_s=round(boot_s() - began_s, 3),
         )
-        inbox = Follower(
+        inbox = PrefixWatcher(
             store,
             inbox_prefix(self.mandate.cell),
             self._inbox.apply,
         )
-        workers = Follower(
+        workers = PrefixWatcher(
             store,
             self.board.prefix,
             self.board.apply,
-            collecting_s=_HEARTBEATS_S,
+            batch_delay_s=_HEARTBEATS_S,
         )
         async with trio.open_nursery() as nursery:
             self.board.attach(nursery)
--- a/src/marjoramwharf/cells/progress_writer.py
+++ b/src/marjoramwharf/cells/progress_writer.py
@@ -108,7 +108,7 @@
             await trio.sleep(0.01)
 
     async def _run_one(self) -> None:
-        pauses = Backoff(first_s=_FIRST_PAUSE_S, limit_s=_LONGEST_PAUSE_S)
+        pauses = Backoff(initial_s=_FIRST_PAUSE_S, max_s=_LONGEST_PAUSE_S)
         while True:
             group = self._take()
             if not group:
@@ -122,7 +122,7 @@
             finally:
                 self._in_flight -= names
             if failed:
-                await trio.sleep(pauses.next_s())
+                await trio.sleep(pauses.next_wait_s())
             else:
                 pauses.reset()
 
--- a/src/marjoramwharf/contracts/release_note.py
+++ b/src/marjoramwharf/contracts/release_note.py
@@ -18,7 +18,7 @@
 from msgspec import Meta, Struct
 
 from marjoramwharf import jsonc
-from marjoramwharf._field_lines import field_lines, line_of
+from marjoramwharf._field_lines import find_field_lines, find_line
 from marjoramwharf.errors import BadNote, BadSettings
 from marjoramwharf.settings import Name
 
@@ -256,7 +256,7 @@
     except BadSettings as failure:
         cause = failure.__cause__ or failure
         raise BadNote(message=_explain(origin, text, str(cause))) from failure
-    return NoteFile(note, origin, field_lines(text))
+    return NoteFile(note, origin, find_field_lines(text))
 
 
 def touched_fields(note: ReleaseNote) -> frozenset[FieldPath]:
@@ -329,9 +329,9 @@
     unknown = _UNKNOWN.search(message)
     if unknown is not None:
         path = f'{path}.{unknown.group(1)}'
-    return _located(origin, field_lines(text), Problem(path, message))
+    return _located(origin, find_field_lines(text), Problem(path, message))
 
 
 def _located(origin: str, lines: dict[str, int], problem: Problem) -> str:
-    line = line_of(lines, problem.field)
+    line = find_line(lines, problem.field)
     return f'{origin}:{line}: {problem.field}: {problem.message}'
--- a/src/marjoramwharf/http_errors.py
+++ b/src/marjoramwharf/http_errors.py
@@ -41,7 +41,7 @@
     retry_after_s: float | None = None
 
 
-def status_of(reason: Reason) -> int:
+def get_http_status(reason: Reason) -> int:
     """Return the HTTP status of a proved "not run" with this reason."""
     return _STATUS_OF.get(reason, _UNAVAILABLE)
 
@@ -71,7 +71,7 @@
 ) -> Response:
     """Return the answer that proves that nothing ran."""
     return error_response(
-        status_of(reason),
+        get_http_status(reason),
         reason,
         message,
         retry_after_s=retry_after_s,
--- a/src/marjoramwharf/links/_etcd_answers.py
+++ b/src/marjoramwharf/links/_etcd_responses.py
@@ -29,9 +29,9 @@
         return
     await response.aread()
     try:
-        error = decode_json(response.content, wire.ErrorAnswer)
+        error = decode_json(response.content, wire.ErrorResponse)
     except msgspec.DecodeError:
-        error = wire.ErrorAnswer()
+        error = wire.ErrorResponse()
     message = f'status {response.status_code}: {error.message}'
     if response.is_client_error:
         raise StoreRefused(message=message)
@@ -40,6 +40,6 @@
     raise StoreAnswerLost(message=message)
 
 
-def describe(failure: Exception) -> str:
+def describe_failure(failure: Exception) -> str:
     """Return a message for a failure of the transport or of decoding."""
     return f'{type(failure).__name__}: {failure}'
--- a/src/marjoramwharf/links/_etcd_watch.py
+++ b/src/marjoramwharf/links/_etcd_watch.py
@@ -17,9 +17,9 @@
 from marjoramwharf.errors import StoreAnswerLost, StoreUnavailable
 from marjoramwharf.json_bodies import decode_json
 from marjoramwharf.links import _etcd_wire as wire
-from marjoramwharf.links._etcd_answers import check_status, describe
+from marjoramwharf.links._etcd_responses import check_status, describe_failure
 from marjoramwharf.links.backoff import Backoff
-from marjoramwharf.links.store import PrefixReading, StoreEvent, WatchBatch
+from marjoramwharf.links.store import PrefixSnapshot, StoreEvent, WatchBatch
 from marjoramwharf.logs import part_logger
 
 # A watch that is silent for this long is opened anew, since a half-open
@@ -33,17 +33,17 @@
 _log = part_logger('store')
 
 
-class PrefixWatch:
+class EtcdWatch:
     """Follows a prefix from a revision; the reader calls ``connection``."""
 
     def __init__(
         self,
         client: httpx.AsyncClient,
-        read_prefix: Callable[[], Awaitable[PrefixReading]],
+        read_prefix: Callable[[], Awaitable[PrefixSnapshot]],
         *,
         prefix: str,
         revision: int,
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
         """Start after a revision; ``read_prefix`` is for compactions."""
         self._client = client
@@ -51,9 +51,9 @@
         self._prefix = prefix
         self._revision = revision
         self._backoff = Backoff(
-            first_s=_FIRST_WAIT_S,
-            limit_s=_LIMIT_WAIT_S,
-            source=source,
+            initial_s=_FIRST_WAIT_S,
+            max_s=_LIMIT_WAIT_S,
+            rng=rng,
         )
 
     async def connection(self) -> AsyncGenerator[WatchBatch, None]:
@@ -65,11 +65,11 @@
         except (StoreUnavailable, StoreAnswerLost) as failure:
             self._log_cut(failure.message)
         except (httpx.HTTPError, ValueError) as unreadable:
-            self._log_cut(describe(unreadable))
+            self._log_cut(describe_failure(unreadable))
 
     async def wait(self) -> None:
         """Wait before the next connection."""
-        await trio.sleep(self._backoff.next_s())
+        await trio.sleep(self._backoff.next_wait_s())
 
     async def _batches(
         self,
@@ -82,7 +82,7 @@
 
     def _opened(self) -> AbstractAsyncContextManager[httpx.Response]:
         create = {
-            **wire.range_of(self._prefix),
+            **wire.encode_range(self._prefix),
             'start_revision': str(self._revision + 1),
         }
         timeout_s = self._client.timeout.connect
@@ -115,14 +115,14 @@
     async def _reread(self) -> WatchBatch:
         while True:
             try:
-                reading = await self._read_prefix()
+                snapshot = await self._read_prefix()
             except StoreUnavailable:
-                await trio.sleep(self._backoff.next_s())
+                await trio.sleep(self._backoff.next_wait_s())
             else:
-                self._revision = reading.revision
-                return _whole_prefix(reading)
+                self._revision = snapshot.revision
+                return _whole_prefix(snapshot)
 
 
-def _whole_prefix(reading: PrefixReading) -> WatchBatch:
-    events = tuple(StoreEvent(stored.key, stored) for stored in reading.found)
-    return WatchBatch(reading.revision, events, restarted=True)
+def _whole_prefix(snapshot: PrefixSnapshot) -> WatchBatch:
+    events = tuple(StoreEvent(stored.key, stored) for stored in snapshot.found)
+    return WatchBatch(snapshot.revision, events, restarted=True)
--- a/src/marjoramwharf/links/_etcd_wire.py
+++ b/src/marjoramwharf/links/_etcd_wire.py
@@ -30,34 +30,34 @@
     create_revision: str = '0'
 
 
-class RangeAnswer(msgspec.Struct, frozen=True):
+class RangeResponse(msgspec.Struct, frozen=True):
     """Answer of ``/v3/kv/range``."""
 
     header: Header
     kvs: tuple[KeyValue, ...] = ()
 
 
-class TxnAnswer(msgspec.Struct, frozen=True):
+class TxnResponse(msgspec.Struct, frozen=True):
     """Answer of ``/v3/kv/txn``."""
 
     header: Header
     succeeded: bool = False
 
 
-class LeaseAnswer(msgspec.Struct, frozen=True):
+class LeaseResponse(msgspec.Struct, frozen=True):
     """Answer of ``/v3/lease/grant`` and result of a keep-alive."""
 
     lease: str = msgspec.field(default='0', name='ID')
     ttl: str = msgspec.field(default='0', name='TTL')
 
 
-class KeepAliveAnswer(msgspec.Struct, frozen=True):
+class KeepAliveResponse(msgspec.Struct, frozen=True):
     """One line of the answer of ``/v3/lease/keepalive``."""
 
-    result: LeaseAnswer
+    result: LeaseResponse
 
 
-class RevokeAnswer(msgspec.Struct, frozen=True):
+class RevokeResponse(msgspec.Struct, frozen=True):
     """Answer of ``/v3/lease/revoke``."""
 
     header: Header
@@ -86,7 +86,7 @@
     result: WatchResult
 
 
-class ErrorAnswer(msgspec.Struct, frozen=True):
+class ErrorResponse(msgspec.Struct, frozen=True):
     """A refusal; ``code`` is the status code of gRPC."""
 
     message: str = ''
@@ -103,13 +103,15 @@
     return base64.b64decode(text, validate=True)
 
 
-def range_of(prefix: str) -> dict[str, str]:
+def encode_range(prefix: str) -> dict[str, str]:
     """Return the fields that select all keys below a prefix."""
     raw = prefix.encode()
     return {'key': encode(raw), 'range_end': encode(_end_of(raw))}
 
 
-def txn_of(guards: Sequence[Guard], writes: Sequence[Write]) -> dict[str, Any]:
+def encode_transaction(
+    guards: Sequence[Guard], writes: Sequence[Write]
+) -> dict[str, Any]:
     """Return the body of a transaction."""
     return {
         'compare': [
@@ -125,7 +127,7 @@
     }
 
 
-def stored_of(found: KeyValue) -> StoredValue:
+def decode_stored(found: KeyValue) -> StoredValue:
     """Return the value that a message describes."""
     return StoredValue(
         key=decode(found.key).decode(),
@@ -142,7 +144,7 @@
     grouped: dict[int, tuple[StoreEvent, ...]] = {}
     for event in events:
         revision = int(event.kv.mod_revision)
-        stored = None if event.type == 'DELETE' else stored_of(event.kv)
+        stored = None if event.type == 'DELETE' else decode_stored(event.kv)
         change = StoreEvent(decode(event.kv.key).decode(), stored)
         grouped[revision] = (*grouped.get(revision, ()), change)
     return dict(sorted(grouped.items()))
--- a/src/marjoramwharf/links/backoff.py
+++ b/src/marjoramwharf/links/backoff.py
@@ -15,24 +15,26 @@
 class Backoff:
     """The waits of one retrying task.
 
-    >>> Backoff(first_s=0.1, limit_s=2, source=random.Random(1)).next_s() < 0.1
+    >>> Backoff(
+    ...     initial_s=0.1, max_s=2, source=random.Random(1)
+    ... ).next_wait_s() < 0.1
     True
     """
 
     def __init__(
         self,
         *,
-        first_s: float,
-        limit_s: float,
-        source: random.Random | None = None,
+        initial_s: float,
+        max_s: float,
+        rng: random.Random | None = None,
     ) -> None:
-        """Start with ``first_s`` as the ceiling, doubled up to ``limit_s``."""
-        self._first_s = first_s
-        self._limit_s = limit_s
-        self._source = source or random.Random()
+        """Start with ``initial_s`` as the ceiling, doubled up to ``max_s``."""
+        self._first_s = initial_s
+        self._limit_s = max_s
+        self._source = rng or random.Random()
         self._attempt = 0
 
-    def next_s(self) -> float:
+    def next_wait_s(self) -> float:
         """Return the next wait in seconds."""
         ceiling_s = min(self._limit_s, self._first_s * 2**self._attempt)
         self._attempt = min(self._attempt + 1, _MAX_DOUBLINGS)
--- a/src/marjoramwharf/links/etcd.py
+++ b/src/marjoramwharf/links/etcd.py
@@ -29,13 +29,13 @@
 from marjoramwharf.ids import LeaseId
 from marjoramwharf.json_bodies import decode_json
 from marjoramwharf.links import _etcd_wire as wire
-from marjoramwharf.links._etcd_answers import check_status, describe
-from marjoramwharf.links._etcd_watch import PrefixWatch
+from marjoramwharf.links._etcd_responses import check_status, describe_failure
+from marjoramwharf.links._etcd_watch import EtcdWatch
 from marjoramwharf.links.store import (
     Committed,
     Conflict,
     Guard,
-    PrefixReading,
+    PrefixSnapshot,
     StoredValue,
     Urgency,
     WatchBatch,
@@ -56,26 +56,26 @@
         client: httpx.AsyncClient,
         *,
         timeout_s: float,
-        source: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         """Use a client whose base URL is that of the gateway."""
         self._client = client
         self._timeout_s = timeout_s
-        self._source = source or random.Random()
+        self._source = rng or random.Random()
 
     async def read(self, key: str, *, urgency: Urgency) -> StoredValue | None:
         """Return the value of a key, or ``None`` if it does not exist."""
-        reading = await self._range({'key': wire.encode(key.encode())})
-        return reading.found[0] if reading.found else None
+        snapshot = await self._range({'key': wire.encode(key.encode())})
+        return snapshot.found[0] if snapshot.found else None
 
     async def read_prefix(
         self,
         prefix: str,
         *,
         urgency: Urgency,
-    ) -> PrefixReading:
+    ) -> PrefixSnapshot:
         """Return all keys below a prefix at one revision."""
-        return await self._range(wire.range_of(prefix))
+        return await self._range(wire.encode_range(prefix))
 
     async def commit(
         self,
@@ -87,8 +87,8 @@
         """Apply all writes in one transaction if all guards hold."""
         answer = await self._write(
             '/v3/kv/txn',
-            wire.txn_of(guards, writes),
-            wire.TxnAnswer,
+            wire.encode_transaction(guards, writes),
+            wire.TxnResponse,
         )
         if answer.succeeded:
             return Committed(_number(answer.header.revision))
@@ -99,7 +99,7 @@
         answer = await self._write(
             '/v3/lease/grant',
             {'TTL': str(ttl_s)},
-            wire.LeaseAnswer,
+            wire.LeaseResponse,
         )
         return LeaseId(_number(answer.lease))
 
@@ -108,7 +108,7 @@
         answer = await self._write(
             '/v3/lease/keepalive',
             {'ID': str(lease)},
-            wire.KeepAliveAnswer,
+            wire.KeepAliveResponse,
         )
         return _number(answer.result.ttl)
 
@@ -117,7 +117,7 @@
         await self._write(
             '/v3/lease/revoke',
             {'ID': str(lease)},
-            wire.RevokeAnswer,
+            wire.RevokeResponse,
         )
 
     @trio.as_safe_channel
@@ -132,12 +132,12 @@
         After a compaction the prefix is read again and yielded as one batch
         with ``restarted`` set.
         """
-        followed = PrefixWatch(
+        followed = EtcdWatch(
             self._client,
-            lambda: self._range(wire.range_of(prefix)),
+            lambda: self._range(wire.encode_range(prefix)),
             prefix=prefix,
             revision=from_revision,
-            source=self._source,
+            rng=self._source,
         )
         while True:
             async with aclosing(followed.connection()) as batches:
@@ -145,16 +145,18 @@
                     yield batch
             await followed.wait()
 
-    async def _range(self, body: dict[str, str]) -> PrefixReading:
+    async def _range(self, body: dict[str, str]) -> PrefixSnapshot:
         try:
-            answer = await self._call('/v3/kv/range', body, wire.RangeAnswer)
-            found = tuple(map(wire.stored_of, answer.kvs))
+            answer = await self._call('/v3/kv/range', body, wire.RangeResponse)
+            found = tuple(map(wire.decode_stored, answer.kvs))
             revision = int(answer.header.revision)
         except (httpx.HTTPError, trio.TooSlowError, ValueError) as failure:
-            raise StoreUnavailable(message=describe(failure)) from failure
+            raise StoreUnavailable(
+                message=describe_failure(failure)
+            ) from failure
         except StoreAnswerLost as lost:
             raise StoreUnavailable(message=lost.message) from lost
-        return PrefixReading(revision, found)
+        return PrefixSnapshot(revision, found)
 
     async def _write(
         self,
@@ -165,9 +167,11 @@
         try:
             return await self._call(path, body, answer_type)
         except _NOT_SENT as unsent:
-            raise StoreUnavailable(message=describe(unsent)) from unsent
+            raise StoreUnavailable(message=describe_failure(unsent)) from unsent
         except (httpx.HTTPError, trio.TooSlowError, ValueError) as failure:
-            raise StoreAnswerLost(message=describe(failure)) from failure
+            raise StoreAnswerLost(
+                message=describe_failure(failure)
+            ) from failure
 
     async def _call(
         self,
@@ -208,4 +212,4 @@
     try:
         return int(text)
     except ValueError as failure:
-        raise StoreAnswerLost(message=describe(failure)) from failure
+        raise StoreAnswerLost(message=describe_failure(failure)) from failure
--- a/src/marjoramwharf/links/http_client.py
+++ b/src/marjoramwharf/links/http_client.py
@@ -3,7 +3,7 @@
 A general client costs an entry about three times as much for a call, which
 matters on instances with less than half a core.
 
-    client = LeanClient()
+    client = HttpClient()
     answer = await client.request(
         'GET', 'http://10.0.0.7:8169/health', timeout_s=1
     )
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ClientResponse:
     """A whole answer; header names are in lower case."""
 
     status: int
@@ -79,7 +79,7 @@
 
 
 @dataclass(slots=True)
-class LeanClient:
+class HttpClient:
     """Keeps idle connections by address."""
 
     connect_timeout_s: float = 2
@@ -94,7 +94,7 @@
         headers: Mapping[str, str] | None = None,
         body: bytes = b'',
         timeout_s: float,
-    ) -> Answer:
+    ) -> ClientResponse:
         """Send a request and return the whole answer.
 
         A request on a kept connection that ends without a byte of an answer
@@ -132,7 +132,7 @@
         sent: h11.Request,
         body: bytes,
         progress: _Progress,
-    ) -> Answer:
+    ) -> ClientResponse:
         connection = await self._take(address, fresh=progress.is_sent)
         progress.is_sent = True
         try:
@@ -176,7 +176,7 @@
             await trio.aclose_forcefully(connection.stream)
 
 
-def is_refused(failure: CallFailed) -> bool:
+def is_connection_refused(failure: CallFailed) -> bool:
     """Tell whether the address answered that nothing listens there."""
     cause = failure.__cause__
     return isinstance(cause, OSError) and cause.errno in _REFUSED
@@ -192,7 +192,7 @@
     connection: _Connection,
     sent: h11.Request,
     body: bytes,
-) -> Answer:
+) -> ClientResponse:
     protocol = connection.protocol
     connection.has_answer = False
     head = protocol.send(sent) or b''
@@ -202,7 +202,7 @@
     return await _read(connection)
 
 
-async def _read(connection: _Connection) -> Answer:
+async def _read(connection: _Connection) -> ClientResponse:
     stream = connection.stream
     event = await next_event(stream, connection.protocol)
     while isinstance(event, h11.InformationalResponse):
@@ -211,7 +211,7 @@
         raise h11.RemoteProtocolError('closed before the answer')
     connection.has_answer = True
     body = await read_body(stream, connection.protocol)
-    return Answer(event.status_code, _decoded(event), body)
+    return ClientResponse(event.status_code, _decoded(event), body)
 
 
 def _decoded(response: h11.Response) -> dict[str, str]:
--- a/src/marjoramwharf/links/http_events.py
+++ b/src/marjoramwharf/links/http_events.py
@@ -10,7 +10,7 @@
 _CHUNK_BYTES = 65_536
 
 
-class TooLarge(Exception):
+class BodyTooLarge(Exception):
     """A body is larger than allowed."""
 
 
@@ -32,7 +32,7 @@
 ) -> bytes:
     """Return the rest of a message.
 
-    Raises ``h11.RemoteProtocolError`` if it was cut and ``TooLarge`` if it
+    Raises ``h11.RemoteProtocolError`` if it was cut and ``BodyTooLarge`` if it
     has more than ``limit_bytes``.
     """
     body = bytearray()
@@ -40,7 +40,7 @@
     while isinstance(event, h11.Data):
         body.extend(event.data)
         if limit_bytes is not None and len(body) > limit_bytes:
-            raise TooLarge
+            raise BodyTooLarge
         event = await next_event(stream, protocol)
     if not isinstance(event, h11.EndOfMessage):
         raise h11.RemoteProtocolError('the message was cut')
--- a/src/marjoramwharf/links/http_server.py
+++ b/src/marjoramwharf/links/http_server.py
@@ -3,7 +3,7 @@
     server = HttpServer(handle)
     await server.serve(listener)
 
-``handle`` turns an ``HttpRequest`` into an ``HttpReply``. During a graceful
+``handle`` turns an ``HttpRequest`` into an ``HttpResponse``. During a graceful
 shutdown the server closes idle connections and ends each busy one after its
 answer.
 """
@@ -17,7 +17,7 @@
 import h11
 import trio
 
-from marjoramwharf.links.http_events import TooLarge, read_body
+from marjoramwharf.links.http_events import BodyTooLarge, read_body
 from marjoramwharf.logs import part_logger
 
 _LOG = part_logger('http')
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpReply:
+class HttpResponse:
     """A whole answer with a body of one content type."""
 
     status: int
@@ -61,7 +61,7 @@
     idle_timeout_s: float = 30
 
 
-Handler = Callable[[HttpRequest], Awaitable[HttpReply]]
+Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 
 class _Refused(Exception):
@@ -82,7 +82,7 @@
     handle: Handler
     limits: HttpLimits = field(default_factory=HttpLimits)
     is_draining: bool = False
-    busy_count: int = 0
+    active_requests_count: int = 0
     _idle_scopes: set[trio.CancelScope] = field(default_factory=set)
 
     async def serve(self, listener: trio.SocketListener) -> None:
@@ -121,16 +121,18 @@
         try:
             request = await self._read(stream, protocol)
         except _Refused as refusal:
-            await _send(stream, protocol, HttpReply(refusal.status), last=True)
+            await _send(
+                stream, protocol, HttpResponse(refusal.status), last=True
+            )
             return False
         if request is None:
             return False
-        self.busy_count += 1
+        self.active_requests_count += 1
         try:
             reply = await self.handle(request)
             await _send(stream, protocol, reply, last=self.is_draining)
         finally:
-            self.busy_count -= 1
+            self.active_requests_count -= 1
         states = {protocol.our_state, protocol.their_state}
         return states == {h11.DONE} and not self.is_draining
 
@@ -150,7 +152,7 @@
                     protocol,
                     limit_bytes=self.limits.body_bytes,
                 )
-        except TooLarge as failure:
+        except BodyTooLarge as failure:
             raise _Refused(_TOO_LARGE) from failure
         if body is None:
             raise _Refused(_TIMED_OUT)
@@ -216,7 +218,7 @@
 async def _send(
     stream: trio.abc.Stream,
     protocol: h11.Connection,
-    reply: HttpReply,
+    reply: HttpResponse,
     *,
     last: bool,
 ) -> None:
--- a/src/marjoramwharf/links/members.py
+++ b/src/marjoramwharf/links/members.py
@@ -44,7 +44,7 @@
     WatchBatch,
     Write,
 )
-from marjoramwharf.links.store_settle import settled_commit
+from marjoramwharf.links.store_settlement import commit_and_settle
 from marjoramwharf.logs import part_logger
 
 PREFIX = '/members/'
@@ -99,7 +99,7 @@
         self._is_written = False
         self._is_failing = False
         self._is_withdrawn = False
-        self._backoff = Backoff(first_s=_FIRST_WAIT_S, limit_s=_LIMIT_WAIT_S)
+        self._backoff = Backoff(initial_s=_FIRST_WAIT_S, max_s=_LIMIT_WAIT_S)
         self._stirred = trio.Event()
 
     @property
@@ -112,7 +112,7 @@
         """Whether the record was in force at the latest keep-alive."""
         return self._lease is not None and self._is_written
 
-    def leave(self) -> None:
+    def mark_leaving(self) -> None:
         """Set the state to leaving; ``run`` writes it at once."""
         self._member = msgspec.structs.replace(
             self._member,
@@ -121,7 +121,7 @@
         self._is_written = False
         self._stirred.set()
 
-    async def withdraw(self) -> None:
+    async def deregister(self) -> None:
         """Remove the record on a planned stop and let ``run`` return.
 
         If the store does not answer, the lease lapses by itself.
@@ -163,7 +163,7 @@
             if not self._is_failing:
                 _log.warning('not renewed', cause=failure.message)
             self._is_failing = True
-            return min(self._backoff.next_s(), self._interval_s)
+            return min(self._backoff.next_wait_s(), self._interval_s)
         self._is_failing = False
         self._backoff.reset()
         return self._interval_s
@@ -196,7 +196,7 @@
         self._check_ours(found)
         member = self._member
         record = _Record(**msgspec.structs.asdict(member), nonce=random_id())
-        outcome = await settled_commit(
+        outcome = await commit_and_settle(
             self._store,
             [Guard(key, 0 if found is None else found.mod_revision)],
             [Write(key, msgspec.json.encode(record), lease)],
@@ -204,7 +204,7 @@
         )
         if not isinstance(outcome, Committed):
             raise StoreUnavailable(message='the record changed meanwhile')
-        # ``leave`` may have been called during the commit.
+        # ``mark_leaving`` may have been called during the commit.
         self._is_written = member is self._member
         self._was_registered = True
         if not self._is_written:
@@ -269,21 +269,21 @@
             await self._follow(batches)
 
     async def _read_first(self) -> int:
-        backoff = Backoff(first_s=_FIRST_WAIT_S, limit_s=_LIMIT_WAIT_S)
+        backoff = Backoff(initial_s=_FIRST_WAIT_S, max_s=_LIMIT_WAIT_S)
         while True:
             try:
-                reading = await self._store.read_prefix(
+                snapshot = await self._store.read_prefix(
                     PREFIX,
                     urgency=Urgency.OWNERSHIP,
                 )
             except _STORE_FAILURES as failure:
                 _log.info('members not read', cause=failure.message)
-                await trio.sleep(backoff.next_s())
+                await trio.sleep(backoff.next_wait_s())
             else:
                 self._apply(
-                    StoreEvent(stored.key, stored) for stored in reading.found
+                    StoreEvent(stored.key, stored) for stored in snapshot.found
                 )
-                return reading.revision
+                return snapshot.revision
 
     async def _follow(self, batches: AsyncIterator[WatchBatch]) -> None:
         async for batch in batches:
--- a/src/marjoramwharf/links/peer_client.py
+++ b/src/marjoramwharf/links/peer_client.py
@@ -22,17 +22,17 @@
 from marjoramwharf.links.peer_messages import (
     Message,
     PeerIdentity,
-    hello,
-    identity_of,
+    make_hello,
+    read_identity,
     pack,
-    prove,
-    proves,
-    refused,
+    compute_proof,
+    verify_proof,
+    decode_refusal,
     unpack,
 )
 from marjoramwharf.links.thrift_types.peer import ttypes
 from marjoramwharf.logs import part_logger
-from marjoramwharf.tracing import hop, trace_headers
+from marjoramwharf.tracing import start_span, trace_headers
 
 _LOG = part_logger('peer')
 _CONNECT_TIMEOUT_S = 2
@@ -98,10 +98,10 @@
         call is never repeated here.
         """
         name = type(message).__name__
-        with hop(f'peer {name}', kind=SpanKind.CLIENT):
+        with start_span(f'peer {name}', kind=SpanKind.CLIENT):
             reply = await self._exchange(message, timeout_s)
         if isinstance(reply, ttypes.Refusal):
-            raise refused(reply)
+            raise decode_refusal(reply)
         return reply
 
     async def _exchange(self, message: Message, timeout_s: float) -> Message:
@@ -165,23 +165,23 @@
         """Answer the server's nonce and check its own proof."""
         challenge = _as_hello(await frames.receive())
         nonces = (challenge.nonce, random_id())
-        proof = prove(
+        proof = compute_proof(
             self._secret,
             'client',
             self._identity,
             nonces,
         )
-        message = hello(
+        message = make_hello(
             self._identity,
             nonce=nonces[1],
             proof=proof,
         )
         await frames.send(pack(0, message))
         answer = _as_hello(await frames.receive())
-        if not proves(answer, self._secret, 'server', nonces):
+        if not verify_proof(answer, self._secret, 'server', nonces):
             raise PeerRefused(message='the peer did not prove its identity')
         frames.limit_bytes = MAX_FRAME_BYTES
-        return identity_of(answer)
+        return read_identity(answer)
 
     async def _read_replies(self, frames: FrameStream) -> None:
         while True:
@@ -204,7 +204,7 @@
 def _as_hello(envelope: ttypes.Envelope) -> Message:
     message = unpack(envelope)
     if isinstance(message, ttypes.Refusal):
-        raise refused(message)
+        raise decode_refusal(message)
     if not isinstance(message, ttypes.Hello):
         raise BadFrame(message='expected Hello')
     return message
--- a/src/marjoramwharf/links/peer_messages.py
+++ b/src/marjoramwharf/links/peer_messages.py
@@ -74,7 +74,7 @@
     return found[0]
 
 
-def refusal(failure: Failure) -> Message:
+def make_refusal(failure: Failure) -> Message:
     """Return the message that carries a failure."""
     return ttypes.Refusal(
         reason=failure.reason.value,
@@ -82,14 +82,14 @@
     )
 
 
-def refused(message: Message) -> PeerRefused:
+def decode_refusal(message: Message) -> PeerRefused:
     """Return the failure that a refusal carries."""
     known = {reason.value for reason in Reason}
     code = message.reason if message.reason in known else 'unknown reason'
     return PeerRefused(message=f'{code}: {message.message}')
 
 
-def hello(
+def make_hello(
     identity: PeerIdentity,
     *,
     nonce: str,
@@ -106,7 +106,7 @@
     )
 
 
-def identity_of(message: Message) -> PeerIdentity:
+def read_identity(message: Message) -> PeerIdentity:
     """Return the identity that a Hello states."""
     return PeerIdentity(
         entry_id=EntryId(message.entry_id),
@@ -115,7 +115,7 @@
     )
 
 
-def prove(
+def compute_proof(
     secret: str,
     role: str,
     identity: PeerIdentity,
@@ -138,8 +138,8 @@
     return hmac.new(secret.encode(), text.encode(), 'sha256').hexdigest()
 
 
-def proves(message: Message, secret: str, role: str, nonces: Any) -> bool:
+def verify_proof(message: Message, secret: str, role: str, nonces: Any) -> bool:
     """Check version and proof of a Hello, in constant time."""
-    expected = prove(secret, role, identity_of(message), nonces)
+    expected = compute_proof(secret, role, read_identity(message), nonces)
     is_proved = hmac.compare_digest(expected.encode(), message.proof.encode())
     return is_proved and message.protocol_version == PROTOCOL_VERSION
--- a/src/marjoramwharf/links/peer_server.py
+++ b/src/marjoramwharf/links/peer_server.py
@@ -19,17 +19,17 @@
 from marjoramwharf.links.peer_messages import (
     Message,
     PeerIdentity,
-    hello,
-    identity_of,
+    make_hello,
+    read_identity,
     pack,
-    prove,
-    proves,
-    refusal,
+    compute_proof,
+    verify_proof,
+    make_refusal,
     unpack,
 )
 from marjoramwharf.links.thrift_types.peer import ttypes
 from marjoramwharf.logs import part_logger
-from marjoramwharf.tracing import hop
+from marjoramwharf.tracing import start_span
 
 Handler: TypeAlias = Callable[[PeerIdentity, Message], Awaitable[Message]]
 
@@ -100,30 +100,30 @@
     async def _shake_hands(self, frames: FrameStream) -> PeerIdentity:
         """Send a fresh nonce and refuse a sender that can't answer it."""
         nonce = random_id()
-        challenge = hello(self._identity, nonce=nonce, proof='')
+        challenge = make_hello(self._identity, nonce=nonce, proof='')
         await frames.send(pack(0, challenge))
         message = unpack(await frames.receive())
         if not isinstance(message, ttypes.Hello):
             raise BadFrame(message='expected Hello')
         nonces = (nonce, message.nonce)
-        if not proves(message, self._secret, 'client', nonces):
+        if not verify_proof(message, self._secret, 'client', nonces):
             unknown = PeerRefused(message='unknown sender')
-            reply = refusal(unknown)
+            reply = make_refusal(unknown)
             await frames.send(pack(0, reply, is_reply=True))
             raise unknown
-        proof = prove(
+        proof = compute_proof(
             self._secret,
             'server',
             self._identity,
             nonces,
         )
-        answer = hello(
+        answer = make_hello(
             self._identity,
             nonce=nonce,
             proof=proof,
         )
         await frames.send(pack(0, answer, is_reply=True))
-        return identity_of(message)
+        return read_identity(message)
 
     async def _answer(
         self,
@@ -147,12 +147,12 @@
         name = type(message).__name__
         handler = self._handlers.get(type(message))
         if handler is None:
-            return refusal(
+            return make_refusal(
                 PeerRefused(message=f'{name} is not served'),
             )
         headers = {'traceparent': envelope.traceparent or ''}
-        with hop(f'peer {name}', kind=SpanKind.SERVER, headers=headers):
+        with start_span(f'peer {name}', kind=SpanKind.SERVER, headers=headers):
             try:
                 return await handler(sender, message)
             except Failure as failure:
-                return refusal(failure)
+                return make_refusal(failure)
--- a/src/marjoramwharf/links/follower.py
+++ b/src/marjoramwharf/links/prefix_watcher.py
@@ -22,36 +22,36 @@
 _FIRST_PAUSE_S = 0.05
 _LONGEST_PAUSE_S = 0.5
 
-Apply = Callable[[WatchBatch], Awaitable[None]]
+BatchHandler = Callable[[WatchBatch], Awaitable[None]]
 
 
 @dataclass(slots=True)
-class Follower:
+class PrefixWatcher:
     """One prefix and what is done with its changes.
 
     ``wait_ms`` bounds the time for which a connection that went silent stays
-    unnoticed. Changes are collected for ``collecting_s`` before the next call,
+    unnoticed. Changes are collected for ``batch_delay_s`` before the next call,
     where many writers would cause a call for each change.
     """
 
     store: PollingStore
     prefix: str
-    apply: Apply
+    apply: BatchHandler
     wait_ms: int = 1_000
-    collecting_s: float = 0
+    batch_delay_s: float = 0
     _revision: int | None = None
 
     async def run(self) -> None:
         """Follow until cancelled."""
         pauses = Backoff(
-            first_s=_FIRST_PAUSE_S,
-            limit_s=_LONGEST_PAUSE_S,
-            source=random.Random(),
+            initial_s=_FIRST_PAUSE_S,
+            max_s=_LONGEST_PAUSE_S,
+            rng=random.Random(),
         )
         lost = False
         while True:
             try:
-                await self.step()
+                await self.poll_once()
             except HistoryLost:
                 _LOG.info('history lost', prefix=self.prefix)
                 self._revision = None
@@ -64,14 +64,14 @@
                         error=str(failure),
                     )
                 lost = True
-                await trio.sleep(pauses.next_s())
+                await trio.sleep(pauses.next_wait_s())
                 continue
             if lost:
                 _LOG.info('watch is back', prefix=self.prefix)
             lost = False
             pauses.reset()
 
-    async def step(self) -> None:
+    async def poll_once(self) -> None:
         """Make one call and apply what it returns."""
         if self._revision is None:
             batch = await self._read()
@@ -84,11 +84,11 @@
         if batch.events or batch.restarted:
             await self.apply(batch)
         self._revision = batch.revision
-        await trio.sleep(self.collecting_s)
+        await trio.sleep(self.batch_delay_s)
 
     async def _read(self) -> WatchBatch:
-        reading = await self.store.read_prefix(self.prefix)
+        snapshot = await self.store.read_prefix(self.prefix)
         events = tuple(
-            StoreEvent(stored.key, stored) for stored in reading.found
+            StoreEvent(stored.key, stored) for stored in snapshot.found
         )
-        return WatchBatch(reading.revision, events, restarted=True)
+        return WatchBatch(snapshot.revision, events, restarted=True)
--- a/src/marjoramwharf/links/relayed_store.py
+++ b/src/marjoramwharf/links/relayed_store.py
@@ -26,7 +26,7 @@
     Conflict,
     Guard,
     PollingStore,
-    PrefixReading,
+    PrefixSnapshot,
     StoredValue,
     WatchBatch,
     Write,
@@ -41,9 +41,9 @@
     RevokeCall,
     StoreCall,
     StoreReply,
-    perform,
+    execute_call,
 )
-from marjoramwharf.links.store_reach import StoreReach
+from marjoramwharf.links.store_reachability import StoreReachability
 from marjoramwharf.logs import part_logger
 
 _LOG = part_logger('store')
@@ -74,28 +74,30 @@
 class RelayedStore:
     """Implements ``PollingStore`` over a direct store and a relay.
 
-    ``reach`` tells whether the store answers this entry, and ``relay_reach``
+    ``reachability`` tells whether the store answers this entry, and ``relay_reachability``
     whether it answers the peers that are asked. Several stores may share them.
     """
 
     direct: PollingStore
     relay: Relay
-    reach: StoreReach = field(default_factory=StoreReach)
-    relay_reach: StoreReach = field(default_factory=StoreReach)
+    reachability: StoreReachability = field(default_factory=StoreReachability)
+    relay_reachability: StoreReachability = field(
+        default_factory=StoreReachability
+    )
 
     @property
     def is_reachable(self) -> bool:
         """Whether a call is likely to be carried out."""
-        return not self.reach.is_away or self._may_relay()
+        return not self.reachability.is_unreachable or self._may_relay()
 
     async def read(self, key: str) -> StoredValue | None:
         """Return the value of a key, or ``None`` if it does not exist."""
         return (await self._run(ReadCall(key))).stored
 
-    async def read_prefix(self, prefix: str) -> PrefixReading:
+    async def read_prefix(self, prefix: str) -> PrefixSnapshot:
         """Return all keys below a prefix, with the revision to watch from."""
         reply = await self._run(ReadPrefixCall(prefix))
-        return _present(reply.reading)
+        return _present(reply.snapshot)
 
     async def commit(
         self,
@@ -135,7 +137,7 @@
         """Ask the store now and then while it is away, until cancelled."""
         while True:
             await trio.sleep(_PROBE_PAUSE_S)
-            if self.reach.is_away:
+            if self.reachability.is_unreachable:
                 try:
                     await self._run_direct(ReadCall(_PROBE_KEY))
                 except Failure as failure:
@@ -144,47 +146,50 @@
                     _LOG.info('store answers again')
 
     async def _run(self, call: StoreCall) -> StoreReply:
-        if self.reach.is_away and self._may_relay():
+        if self.reachability.is_unreachable and self._may_relay():
             return await self._run_relayed(call)
         try:
             return await self._run_direct(call)
         except StoreUnavailable:
             # Nothing was done, so the call may go another way at once.
-            if self.reach.is_away and self._may_relay():
+            if self.reachability.is_unreachable and self._may_relay():
                 return await self._run_relayed(call)
             raise
 
     def _may_relay(self) -> bool:
-        return self.relay.is_connected and not self.relay_reach.is_away
+        return (
+            self.relay.is_connected
+            and not self.relay_reachability.is_unreachable
+        )
 
     async def _run_direct(self, call: StoreCall) -> StoreReply:
-        was_away = self.reach.is_away
+        was_away = self.reachability.is_unreachable
         try:
-            reply = await perform(self.direct, call)
+            reply = await execute_call(self.direct, call)
         except StoreRefused:
-            self.reach.answered(now_s=trio.current_time())
+            self.reachability.record_answer(now_s=trio.current_time())
             raise
         except (StoreUnavailable, StoreAnswerLost) as failure:
-            self.reach.failed(now_s=trio.current_time())
-            if self.reach.is_away and not was_away:
+            self.reachability.record_failure(now_s=trio.current_time())
+            if self.reachability.is_unreachable and not was_away:
                 _LOG.warning('store away', error=str(failure))
             raise
         except Failure:
-            self.reach.answered(now_s=trio.current_time())
+            self.reachability.record_answer(now_s=trio.current_time())
             raise
-        self.reach.answered(now_s=trio.current_time())
+        self.reachability.record_answer(now_s=trio.current_time())
         return reply
 
     async def _run_relayed(self, call: StoreCall) -> StoreReply:
         try:
             reply = await self.relay.call(call)
         except PeerUnreachable as failure:
-            self.relay_reach.failed(now_s=trio.current_time())
+            self.relay_reachability.record_failure(now_s=trio.current_time())
             raise StoreUnavailable(message=str(failure)) from failure
         except (StoreUnavailable, StoreAnswerLost):
-            self.relay_reach.failed(now_s=trio.current_time())
+            self.relay_reachability.record_failure(now_s=trio.current_time())
             raise
-        self.relay_reach.answered(now_s=trio.current_time())
+        self.relay_reachability.record_answer(now_s=trio.current_time())
         return reply
 
 
--- a/src/marjoramwharf/links/store_guard.py
+++ b/src/marjoramwharf/links/resilient_store.py
@@ -1,11 +1,11 @@
 """A store client with a budget, a health state and retried reads.
 
-``GuardedStore`` wraps any ``Store``. Reads are repeated with jittered backoff;
-writes are never repeated by it. :mod:`links.store_settle` finds out what
+``ResilientStore`` wraps any ``Store``. Reads are repeated with jittered backoff;
+writes are never repeated by it. :mod:`links.store_settlement` finds out what
 became of a commit whose answer was lost.
 
 Example:
-    guarded = GuardedStore(store, settings)
+    guarded = ResilientStore(store, settings)
     if guarded.health is not StoreHealth.DOWN:
         found = await guarded.read('/note/head', urgency=Urgency.STATUS)
 """
@@ -32,7 +32,7 @@
     Committed,
     Conflict,
     Guard,
-    PrefixReading,
+    PrefixSnapshot,
     Store,
     StoredValue,
     Urgency,
@@ -64,7 +64,7 @@
     watches_count: int = 0
 
 
-class GuardedStore:
+class ResilientStore:
     """Implements the ``Store`` interface over another store.
 
     Besides the failures of the interface, a call may raise
@@ -77,13 +77,13 @@
         settings: StoreSettings,
         *,
         clock: Callable[[], float] = trio.current_time,
-        source: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         """Wrap a store; ``clock`` gives monotonic seconds."""
         self.counters = StoreCounters()
         self._store = store
         self._clock = clock
-        self._source = source or random.Random()
+        self._source = rng or random.Random()
         self._budget = StoreBudget(settings, now_s=clock())
         self._tracker = HealthTracker(timeout_s=settings.timeout_ms / 1000)
 
@@ -104,7 +104,7 @@
         prefix: str,
         *,
         urgency: Urgency,
-    ) -> PrefixReading:
+    ) -> PrefixSnapshot:
         """Return all keys below a prefix at one revision."""
         return await self._read(
             urgency,
@@ -165,9 +165,9 @@
     def _count_watch(self, change: int) -> None:
         self.counters.watches_count += change
         if change > 0:
-            self._budget.watch_opened(self._clock())
+            self._budget.add_watch(self._clock())
         else:
-            self._budget.watch_closed(self._clock())
+            self._budget.remove_watch(self._clock())
 
     async def _read(
         self,
@@ -175,9 +175,9 @@
         call: Callable[[], Awaitable[_Outcome]],
     ) -> _Outcome:
         backoff = Backoff(
-            first_s=_FIRST_WAIT_S,
-            limit_s=_LIMIT_WAIT_S,
-            source=self._source,
+            initial_s=_FIRST_WAIT_S,
+            max_s=_LIMIT_WAIT_S,
+            rng=self._source,
         )
         for _ in range(_READ_ATTEMPTS - 1):
             try:
@@ -188,7 +188,7 @@
                 if self.health is StoreHealth.DOWN:
                     raise
             self.counters.retries_count += 1
-            await trio.sleep(backoff.next_s())
+            await trio.sleep(backoff.next_wait_s())
         return await self._read_once(urgency, call)
 
     async def _read_once(
@@ -196,7 +196,7 @@
         urgency: Urgency,
         call: Callable[[], Awaitable[_Outcome]],
     ) -> _Outcome:
-        self._spend(self._budget.spend_read, urgency)
+        self._spend(self._budget.admit_read, urgency)
         self.counters.reads_count += 1
         return await self._judged(call)
 
@@ -205,7 +205,7 @@
         urgency: Urgency,
         call: Callable[[], Awaitable[_Outcome]],
     ) -> _Outcome:
-        self._spend(self._budget.spend_write, urgency)
+        self._spend(self._budget.admit_write, urgency)
         self.counters.writes_count += 1
         return await self._judged(call)
 
@@ -229,15 +229,15 @@
         try:
             outcome = await call()
         except StoreRefused:
-            self._tracker.answered(self._clock() - started_s)
+            self._tracker.record_answer(self._clock() - started_s)
             raise
         except StoreUnavailable:
             self.counters.failed_count += 1
-            self._tracker.failed()
+            self._tracker.record_failure()
             raise
         except StoreAnswerLost:
             self.counters.lost_count += 1
-            self._tracker.failed()
+            self._tracker.record_failure()
             raise
-        self._tracker.answered(self._clock() - started_s)
+        self._tracker.record_answer(self._clock() - started_s)
         return outcome
--- a/src/marjoramwharf/links/store.py
+++ b/src/marjoramwharf/links/store.py
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PrefixReading:
+class PrefixSnapshot:
     """All keys below a prefix at one revision."""
 
     revision: int
@@ -118,7 +118,7 @@
         prefix: str,
         *,
         urgency: Urgency,
-    ) -> PrefixReading:
+    ) -> PrefixSnapshot:
         """Return all keys below a prefix at one revision."""
 
     async def commit(
@@ -157,7 +157,7 @@
     async def read(self, key: str) -> StoredValue | None:
         """Return the value of a key, or ``None`` if it does not exist."""
 
-    async def read_prefix(self, prefix: str) -> PrefixReading:
+    async def read_prefix(self, prefix: str) -> PrefixSnapshot:
         """Return all keys below a prefix, with the revision to watch from."""
 
     async def commit(
--- a/src/marjoramwharf/links/store_budget.py
+++ b/src/marjoramwharf/links/store_budget.py
@@ -42,12 +42,12 @@
 
     def admit(self, urgency: Urgency, now_s: float) -> bool:
         """Take a token for a call, or refuse it."""
-        if self.wait_s(urgency, now_s) > 0:
+        if self.compute_wait_s(urgency, now_s) > 0:
             return False
         self._tokens -= 1
         return True
 
-    def wait_s(self, urgency: Urgency, now_s: float) -> float:
+    def compute_wait_s(self, urgency: Urgency, now_s: float) -> float:
         """Return how long a call of this class would have to wait."""
         self._fill(now_s)
         if urgency is Urgency.OWNERSHIP:
@@ -89,19 +89,19 @@
         )
         self._watches_count = 0
 
-    def spend_read(self, urgency: Urgency, now_s: float) -> None:
+    def admit_read(self, urgency: Urgency, now_s: float) -> None:
         """Admit a read, or raise ``StoreBudgetSpent`` with the wait."""
         _spend(self._reads, urgency, now_s)
 
-    def spend_write(self, urgency: Urgency, now_s: float) -> None:
+    def admit_write(self, urgency: Urgency, now_s: float) -> None:
         """Admit a write, or raise ``StoreBudgetSpent`` with the wait."""
         _spend(self._writes, urgency, now_s)
 
-    def watch_opened(self, now_s: float) -> None:
+    def add_watch(self, now_s: float) -> None:
         """Count one more waiting watch."""
         self._count_watches(1, now_s)
 
-    def watch_closed(self, now_s: float) -> None:
+    def remove_watch(self, now_s: float) -> None:
         """Count one waiting watch less."""
         self._count_watches(-1, now_s)
 
@@ -118,5 +118,5 @@
     if not bucket.admit(urgency, now_s):
         raise StoreBudgetSpent(
             message=f'the rate is spent for calls of class {urgency.name}',
-            retry_after_s=bucket.wait_s(urgency, now_s),
+            retry_after_s=bucket.compute_wait_s(urgency, now_s),
         )
--- a/src/marjoramwharf/links/store_calls.py
+++ b/src/marjoramwharf/links/store_calls.py
@@ -23,7 +23,7 @@
     Conflict,
     Guard,
     PollingStore,
-    PrefixReading,
+    PrefixSnapshot,
     StoredValue,
     WatchBatch,
     Write,
@@ -90,7 +90,7 @@
     """What a call returned; the field that fits the call is set."""
 
     stored: StoredValue | None = None
-    reading: PrefixReading | None = None
+    snapshot: PrefixSnapshot | None = None
     committed: Committed | None = None
     conflict: Conflict | None = None
     lease: LeaseId | None = None
@@ -120,7 +120,7 @@
 _OUTCOMES = {failure: outcome for outcome, failure in _FAILURES.items()}
 
 
-async def perform(store: PollingStore, call: StoreCall) -> StoreReply:
+async def execute_call(store: PollingStore, call: StoreCall) -> StoreReply:
     """Carry a call out; raises what the method of the store raises."""
     match call:
         case CommitCall(guards, writes):
@@ -137,7 +137,7 @@
         case ReadCall(key):
             return StoreReply(stored=await store.read(key))
         case ReadPrefixCall(prefix):
-            return StoreReply(reading=await store.read_prefix(prefix))
+            return StoreReply(snapshot=await store.read_prefix(prefix))
 
 
 async def _commit(
@@ -191,12 +191,12 @@
         raise BadFrame(message=f'store reply: {failure}') from failure
 
 
-def outcome_of(failure: Failure) -> CallOutcome:
+def get_outcome(failure: Failure) -> CallOutcome:
     """Return the outcome that tells a peer of a failure."""
     return _OUTCOMES.get(type(failure), CallOutcome.ANSWER_LOST)
 
 
-def failure_of(outcome: int, text: str) -> Failure:
+def make_failure(outcome: int, text: str) -> Failure:
     """Return the failure that a peer's outcome stands for."""
     known = {known.value for known in CallOutcome}
     if outcome not in known:
--- a/src/marjoramwharf/links/store_health.py
+++ b/src/marjoramwharf/links/store_health.py
@@ -47,7 +47,7 @@
             return StoreHealth.DOWN
         return StoreHealth.SLOW if self._is_slow else StoreHealth.HEALTHY
 
-    def answered(self, took_s: float) -> None:
+    def record_answer(self, took_s: float) -> None:
         """Note a call that the store answered."""
         self._failures_in_row = 0
         self._answers_in_row += 1
@@ -59,7 +59,7 @@
         elif self._mean_s < _FAST_BELOW_SHARE * self._timeout_s:
             self._is_slow = False
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Note a call without an answer, or one that was turned away."""
         self._answers_in_row = 0
         self._failures_in_row += 1
--- a/src/marjoramwharf/links/store_relay.py
+++ b/src/marjoramwharf/links/store_relay.py
@@ -27,11 +27,11 @@
     decode_reply,
     encode_call,
     encode_reply,
-    failure_of,
-    outcome_of,
-    perform,
+    make_failure,
+    get_outcome,
+    execute_call,
 )
-from marjoramwharf.links.store_reach import StoreReach
+from marjoramwharf.links.store_reachability import StoreReachability
 from marjoramwharf.links.tcp import open_stream
 from marjoramwharf.links.thrift_types.peer import ttypes
 from marjoramwharf.logs import part_logger
@@ -82,13 +82,13 @@
 class StoreRelay:
     """Keeps connections to a few peers while the store is away.
 
-    Implements ``relayed_store.Relay``. ``reach`` tells whether the store
+    Implements ``relayed_store.Relay``. ``reachability`` tells whether the store
     answers this entry itself.
     """
 
     peers: PeerSource
     identity: PeerIdentity
-    reach: StoreReach
+    reachability: StoreReachability
     rng: random.Random = field(default_factory=random.Random)
     _links: dict[PeerAddress, _Link] = field(default_factory=dict)
     _away_s: float = 0
@@ -104,7 +104,7 @@
             while True:
                 await trio.sleep(_CHECK_PAUSE_S)
                 now_s = trio.current_time()
-                if self.reach.is_away:
+                if self.reachability.is_unreachable:
                     self._away_s = now_s
                     self._replace_unreached(now_s)
                     self._connect(nursery, now_s)
@@ -158,18 +158,18 @@
         )
 
 
-async def answer_store_call(
+async def handle_store_call(
     store: PollingStore,
-    reach: StoreReach,
+    reachability: StoreReachability,
     call: Message,
 ) -> Message:
     """Carry a peer's call out on the store that this entry reaches itself."""
-    if reach.is_away:
+    if reachability.is_unreachable:
         return _reply(CallOutcome.UNAVAILABLE, b'')
     try:
-        reply = await perform(store, decode_call(call.body))
+        reply = await execute_call(store, decode_call(call.body))
     except Failure as failure:
-        return _reply(outcome_of(failure), str(failure).encode())
+        return _reply(get_outcome(failure), str(failure).encode())
     return _reply(CallOutcome.DONE, encode_reply(reply))
 
 
@@ -188,7 +188,7 @@
         raise StoreAnswerLost(message=f'peer: {failure}') from failure
     if reply.status == CallOutcome.DONE:
         return decode_reply(reply.body)
-    raise failure_of(reply.status, reply.body.decode('utf-8', 'replace'))
+    raise make_failure(reply.status, reply.body.decode('utf-8', 'replace'))
 
 
 def _reply(outcome: CallOutcome, body: bytes) -> Message:
--- a/src/marjoramwharf/links/store_settle.py
+++ b/src/marjoramwharf/links/store_settlement.py
@@ -1,7 +1,7 @@
 """Settlement of a commit whose answer was lost.
 
 Example:
-    outcome = await settled_commit(
+    outcome = await commit_and_settle(
         store,
         [Guard(key, 0)],
         [Write(key, body_with_nonce)],
@@ -41,7 +41,7 @@
     CHANGED = 'changed'
 
 
-async def settled_commit(
+async def commit_and_settle(
     store: Store,
     guards: Sequence[Guard],
     writes: Sequence[Write],
--- a/src/marjoramwharf/log_output.py
+++ b/src/marjoramwharf/log_output.py
@@ -39,7 +39,7 @@
     """A logger for structlog that writes whole lines to a descriptor."""
 
     descriptor: int
-    left_out_count: int = 0
+    dropped_lines_count: int = 0
     _unreported_count: int = 0
     _rest: bytes = b''
     _usual: _Budget = field(default_factory=_Budget)
@@ -88,7 +88,7 @@
         )
 
     def _leave_out(self) -> None:
-        self.left_out_count += 1
+        self.dropped_lines_count += 1
         self._unreported_count += 1
 
     def _write(self, line: str) -> bool:
--- a/src/marjoramwharf/machines/agent.py
+++ b/src/marjoramwharf/machines/agent.py
@@ -51,7 +51,7 @@
     UsageReport,
     WorkerRefusal,
 )
-from marjoramwharf.tracing import hop, trace_headers
+from marjoramwharf.tracing import start_span, trace_headers
 
 _REFUSED_STATUS = 409
 _STATUSES = range(200, 600)
@@ -141,7 +141,7 @@
         call that found no free connection in time is refused as ``FULL``.
         """
         sent = False
-        with hop('worker.run', kind=trace.SpanKind.CLIENT) as span:
+        with start_span('worker.run', kind=trace.SpanKind.CLIENT) as span:
             span.set_attribute('worker', call.permit.worker_id)
             span.set_attribute('request_id', call.request_id or '')
             with trio.move_on_after(call.timeout_ms / _MS_PER_S):
@@ -256,7 +256,7 @@
     async def _ask(
         self, method: str, path: str, body: object
     ) -> httpx.Response:
-        with hop('worker.control', kind=trace.SpanKind.CLIENT) as span:
+        with start_span('worker.control', kind=trace.SpanKind.CLIENT) as span:
             span.set_attribute('path', path)
             with trio.move_on_after(self._control_timeout_s):
                 async with self._control_limit:
--- a/src/marjoramwharf/platform/advice_calls.py
+++ b/src/marjoramwharf/platform/advice_calls.py
@@ -10,7 +10,7 @@
 from marjoramwharf.errors import AdviceUnavailable
 from marjoramwharf.ids import WorkerId
 from marjoramwharf.json_bodies import decode_json
-from marjoramwharf.links.http_client import CallFailed, LeanClient
+from marjoramwharf.links.http_client import CallFailed, HttpClient
 
 
 class _Question(Struct, frozen=True, rename='pascal'):
@@ -30,7 +30,7 @@
 class PlatformAdviceCalls:
     """Calls over the connections of one client."""
 
-    def __init__(self, client: LeanClient, address: str) -> None:
+    def __init__(self, client: HttpClient, address: str) -> None:
         """Use ``host:port`` as the service."""
         self._client = client
         self._url = f'http://{address}/advise'
--- a/src/marjoramwharf/platform/front.py
+++ b/src/marjoramwharf/platform/front.py
@@ -13,7 +13,7 @@
 from marjoramwharf.cells.intake_outcomes import Submission
 from marjoramwharf.errors import BadJob, Failure
 from marjoramwharf.ids import JobId
-from marjoramwharf.links.http_server import HttpReply, HttpRequest
+from marjoramwharf.links.http_server import HttpResponse, HttpRequest
 from marjoramwharf.logs import part_logger
 from marjoramwharf.platform import job_bodies
 from marjoramwharf.scheduling.policy import Configuration, QueuePolicy
@@ -26,24 +26,24 @@
 # Time of a caller's deadline that is kept for the way back.
 _RETURN_S = 0.1
 
-_ACCEPTED = HttpReply(200, b'{}')
-_CANCELLED = HttpReply(200, b'{}')
-_NO_QUEUE = HttpReply(404, b'{"Error":"no such queue"}')
-_NO_JOB = HttpReply(410, b'{"Error":"no such job"}')
-_BAD_METHOD = HttpReply(405, b'{"Error":"method not allowed"}')
-_UNKNOWN = HttpReply(504, b'{"Error":"outcome unknown"}')
-_UNREAD = HttpReply(503, b'{"Error":"state can not be read"}')
-_NOT_READY = HttpReply(
+_ACCEPTED = HttpResponse(200, b'{}')
+_CANCELLED = HttpResponse(200, b'{}')
+_NO_QUEUE = HttpResponse(404, b'{"Error":"no such queue"}')
+_NO_JOB = HttpResponse(410, b'{"Error":"no such job"}')
+_BAD_METHOD = HttpResponse(405, b'{"Error":"method not allowed"}')
+_UNKNOWN = HttpResponse(504, b'{"Error":"outcome unknown"}')
+_UNREAD = HttpResponse(503, b'{"Error":"state can not be read"}')
+_NOT_READY = HttpResponse(
     503,
     b'{"Error":"no configuration yet"}',
     (('Retry-After', '1'),),
 )
-_NOT_STORED = HttpReply(
+_NOT_STORED = HttpResponse(
     503,
     b'{"Error":"not stored and not run"}',
     (('Retry-After', '1'),),
 )
-_UNSERVABLE = HttpReply(
+_UNSERVABLE = HttpResponse(
     429,
     b'{"Error":"no worker is large enough"}',
     (('Retry-After', '60'),),
@@ -63,14 +63,14 @@
     intake: Intake
     configuration: Callable[[], Configuration | None]
 
-    async def handle(self, request: HttpRequest) -> HttpReply:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer one request."""
         reply = await self._answer(request)
         took_s = trio.current_time() - request.arrived_s
         self.intake.counters.answer_samples_s.append(took_s)
         return reply
 
-    async def _answer(self, request: HttpRequest) -> HttpReply:
+    async def _answer(self, request: HttpRequest) -> HttpResponse:
         configuration = self.configuration()
         if configuration is None:
             return _NOT_READY
@@ -91,7 +91,7 @@
         request: HttpRequest,
         queue: QueuePolicy,
         job_id: JobId,
-    ) -> HttpReply:
+    ) -> HttpResponse:
         deadline_s = _deadline_s(request, queue)
         try:
             if request.method == 'POST':
@@ -102,7 +102,7 @@
                 return await self._cancel(job_id, deadline_s)
         except BadJob as bad:
             _LOG.info('job malformed', job=job_id, error=str(bad))
-            return HttpReply(400, b'{"Error":"malformed job"}')
+            return HttpResponse(400, b'{"Error":"malformed job"}')
         except Failure as failure:
             _LOG.info(
                 'request not served',
@@ -119,7 +119,7 @@
         queue: QueuePolicy,
         job_id: JobId,
         deadline_s: float,
-    ) -> HttpReply:
+    ) -> HttpResponse:
         job = job_bodies.decode_job(
             request.body,
             job_id=job_id,
@@ -129,13 +129,13 @@
         outcome = await self.intake.submit(job, deadline_s=deadline_s)
         return _SUBMITTED[outcome]
 
-    async def _status(self, job_id: JobId) -> HttpReply:
+    async def _status(self, job_id: JobId) -> HttpResponse:
         state = await self.intake.status(job_id)
         if state is None:
             return _NO_JOB
-        return HttpReply(200, job_bodies.encode_state(state))
+        return HttpResponse(200, job_bodies.encode_state(state))
 
-    async def _cancel(self, job_id: JobId, deadline_s: float) -> HttpReply:
+    async def _cancel(self, job_id: JobId, deadline_s: float) -> HttpResponse:
         known = await self.intake.cancel(job_id, deadline_s=deadline_s)
         return _CANCELLED if known else _NO_JOB
 
@@ -143,7 +143,7 @@
         self,
         request: HttpRequest,
         queue: QueuePolicy,
-    ) -> HttpReply:
+    ) -> HttpResponse:
         if request.method != 'GET':
             return _BAD_METHOD
         try:
@@ -151,7 +151,7 @@
         except Failure as failure:
             _LOG.info('count not read', queue=queue.name, error=str(failure))
             return _UNREAD
-        return HttpReply(200, job_bodies.encode_waiting(count))
+        return HttpResponse(200, job_bodies.encode_waiting(count))
 
 
 def _deadline_s(request: HttpRequest, queue: QueuePolicy) -> float:
@@ -166,7 +166,7 @@
 async def answer_ready(
     is_ready: Callable[[], bool],
     _request: HttpRequest,
-) -> HttpReply:
+) -> HttpResponse:
     """Answer the platform's question whether this entry takes callers."""
     await trio.lowlevel.checkpoint()
-    return HttpReply(200 if is_ready() else 503, b'{}')
+    return HttpResponse(200 if is_ready() else 503, b'{}')
--- a/src/marjoramwharf/platform/kv_store.py
+++ b/src/marjoramwharf/platform/kv_store.py
@@ -24,16 +24,16 @@
 from marjoramwharf.ids import LeaseId
 from marjoramwharf.json_bodies import decode_json
 from marjoramwharf.links.http_client import (
-    Answer,
+    ClientResponse,
     CallFailed,
-    LeanClient,
+    HttpClient,
     NotConnected,
 )
 from marjoramwharf.links.store import (
     Committed,
     Conflict,
     Guard,
-    PrefixReading,
+    PrefixSnapshot,
     StoredValue,
     StoreEvent,
     WatchBatch,
@@ -109,7 +109,7 @@
 
     def __init__(
         self,
-        client: LeanClient,
+        client: HttpClient,
         address: str,
         *,
         timeout_s: float,
@@ -126,7 +126,7 @@
             return None
         return _stored(_decoded(answer, _Item))
 
-    async def read_prefix(self, prefix: str) -> PrefixReading:
+    async def read_prefix(self, prefix: str) -> PrefixSnapshot:
         """Return all keys below a prefix, page by page.
 
         The revision is that of the first page, since pages are no snapshot.
@@ -141,7 +141,7 @@
             if revision is None:
                 revision = page.current_revision
             if not page.has_more or not page.items:
-                return PrefixReading(revision, tuple(found))
+                return PrefixSnapshot(revision, tuple(found))
             after = f'&After={quote(page.items[-1].key, safe="")}'
 
     async def commit(
@@ -214,7 +214,7 @@
         revision = max(after_revision, changes.current_revision)
         return WatchBatch(revision, events)
 
-    async def _get(self, path: str, *, wait_s: float = 0) -> Answer:
+    async def _get(self, path: str, *, wait_s: float = 0) -> ClientResponse:
         try:
             answer = await self._client.request(
                 'GET',
@@ -226,11 +226,13 @@
         _check_done(answer)
         return answer
 
-    async def _post(self, path: str, body: Struct | None) -> Answer:
+    async def _post(self, path: str, body: Struct | None) -> ClientResponse:
         sent = b'{}' if body is None else json.encode(body)
         return await self._write('POST', path, sent)
 
-    async def _write(self, method: str, path: str, body: bytes) -> Answer:
+    async def _write(
+        self, method: str, path: str, body: bytes
+    ) -> ClientResponse:
         try:
             answer = await self._client.request(
                 method,
@@ -247,19 +249,19 @@
         return answer
 
 
-def _check_done(answer: Answer) -> None:
+def _check_done(answer: ClientResponse) -> None:
     if answer.status in _NOTHING_DONE:
         raise StoreUnavailable(message=f'the store answered {answer.status}')
 
 
-def _exists(answer: Answer) -> bool:
+def _exists(answer: ClientResponse) -> bool:
     if answer.status == _NOT_FOUND:
         return False
     _decoded(answer, Raw)
     return True
 
 
-def _decoded(answer: Answer, model: type[_Model]) -> _Model:
+def _decoded(answer: ClientResponse, model: type[_Model]) -> _Model:
     """Decode an answer of status 200 or 412; raises ``StoreRefused``."""
     if answer.status not in {_OK, _CONDITION_FAILED}:
         text = answer.body[:200].decode('utf-8', 'replace')
--- a/src/marjoramwharf/platform/worker_calls.py
+++ b/src/marjoramwharf/platform/worker_calls.py
@@ -22,9 +22,9 @@
 from marjoramwharf.ids import TaskId
 from marjoramwharf.json_bodies import decode_json
 from marjoramwharf.links.http_client import (
-    Answer,
+    ClientResponse,
     CallFailed,
-    LeanClient,
+    HttpClient,
     NotConnected,
 )
 from marjoramwharf.logs import part_logger
@@ -128,7 +128,7 @@
 class PlatformWorkerCalls:
     """Calls over the connections of one client."""
 
-    def __init__(self, client: LeanClient) -> None:
+    def __init__(self, client: HttpClient) -> None:
         """Share a client, which keeps connections by address."""
         self._client = client
 
@@ -221,7 +221,7 @@
         path: str,
         body: Any,
         timeout_s: float,
-    ) -> Answer | OrderOutcome:
+    ) -> ClientResponse | OrderOutcome:
         try:
             return await self._client.request(
                 'POST',
@@ -239,7 +239,7 @@
             return OrderOutcome.UNKNOWN
 
 
-def _refusal(answer: Answer) -> OrderAnswer:
+def _refusal(answer: ClientResponse) -> OrderAnswer:
     """Return the outcome of an answer of any status."""
     try:
         body = decode_json(answer.body or b'{}', _Refused)
--- a/src/marjoramwharf/programs/_cell_metrics.py
+++ b/src/marjoramwharf/programs/_cell_metrics.py
@@ -15,8 +15,8 @@
 
 from marjoramwharf.cells.cell import Cell
 from marjoramwharf.cells.counters import CellCounters
-from marjoramwharf.links.http_client import LeanClient
-from marjoramwharf.links.http_server import HttpReply, HttpRequest
+from marjoramwharf.links.http_client import HttpClient
+from marjoramwharf.links.http_server import HttpResponse, HttpRequest
 from marjoramwharf.log_output import BoundedOutput
 
 _PREFIX = 'marjoramwharf_'
@@ -32,21 +32,21 @@
     """
 
     counters: CellCounters
-    client: LeanClient
+    client: HttpClient
     output: BoundedOutput | None
     cell: Callable[[], Cell | None]
     _page: Any = None
     _lock: trio.Lock = field(default_factory=trio.Lock)
 
-    async def handle(self, request: HttpRequest) -> HttpReply:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer ``GET /metrics``."""
         if request.target.partition('?')[0] != '/metrics':
-            return HttpReply(_NOT_FOUND)
+            return HttpResponse(_NOT_FOUND)
         async with self._lock:
             if self._page is None:
                 self._page = await trio.to_thread.run_sync(_Page)
             text: bytes = self._page.render(self._values(), self._samples())
-        return HttpReply(200, text, content_type='text/plain; version=0.0.4')
+        return HttpResponse(200, text, content_type='text/plain; version=0.0.4')
 
     def _values(self) -> Mapping[str, Mapping[str, float]]:
         """Return totals by metric and label; '' for a metric without one."""
@@ -66,7 +66,7 @@
             'store_written_bytes_total': {'': counters.written_bytes},
             'connections_opened_total': {'': self.client.opened_count},
             'log_lines_left_out_total': {
-                '': self.output.left_out_count if self.output else 0,
+                '': self.output.dropped_lines_count if self.output else 0,
             },
             **self._cell_values(),
         }
--- a/src/marjoramwharf/programs/_gauges.py
+++ b/src/marjoramwharf/programs/_gauges.py
@@ -16,7 +16,7 @@
 from marjoramwharf.contracts.lending import CapacityKeeper
 from marjoramwharf.contracts.note_keeper import NoteKeeper
 from marjoramwharf.contracts.ownership import Ownership
-from marjoramwharf.links.store_guard import GuardedStore, StoreCounters
+from marjoramwharf.links.resilient_store import ResilientStore, StoreCounters
 from marjoramwharf.links.store_health import StoreHealth
 from marjoramwharf.programs._service_path import ServicePath
 from marjoramwharf.service.drain import DrainGate
@@ -29,7 +29,7 @@
 class GaugeParts:
     """The parts that are read."""
 
-    store: GuardedStore
+    store: ResilientStore
     keeper: CapacityKeeper
     ownership: Ownership
     path: ServicePath
--- a/src/marjoramwharf/programs/cells.py
+++ b/src/marjoramwharf/programs/cells.py
@@ -27,7 +27,7 @@
 )
 from marjoramwharf.errors import BadListing
 from marjoramwharf.ids import JobId
-from marjoramwharf.links.http_client import LeanClient
+from marjoramwharf.links.http_client import HttpClient
 from marjoramwharf.links.store import PollingStore
 from marjoramwharf.platform.kv_store import KvStore
 from marjoramwharf.platform.worker_entries import (
@@ -125,7 +125,7 @@
         return 0
 
     async def _print(self) -> None:
-        store = KvStore(LeanClient(), self.store, timeout_s=_TIMEOUT_S)
+        store = KvStore(HttpClient(), self.store, timeout_s=_TIMEOUT_S)
         for rows in (
             await owner_rows(store),
             await job_rows(store, CellId(self.cell)),
--- a/src/marjoramwharf/programs/entry.py
+++ b/src/marjoramwharf/programs/entry.py
@@ -37,7 +37,7 @@
 from marjoramwharf.links.peer_pool import PeerPool
 from marjoramwharf.links.peer_server import PeerServer
 from marjoramwharf.links.store import Store
-from marjoramwharf.links.store_guard import GuardedStore
+from marjoramwharf.links.resilient_store import ResilientStore
 from marjoramwharf.logs import configure_logs, part_logger
 from marjoramwharf.machines.agent_pool import AgentPool
 from marjoramwharf.machines.roster import Roster
@@ -73,7 +73,7 @@
     def __init__(
         self,
         settings: EntrySettings,
-        store: GuardedStore,
+        store: ResilientStore,
         directory: DirectoryClient,
     ) -> None:
         """Make and connect all parts; nothing runs yet."""
@@ -282,7 +282,7 @@
     """Run an entry until a planned stop has ended."""
     async with open_store(settings.store) as raw:
         async with open_directory(settings.directory) as directory:
-            store = GuardedStore(raw, settings.store)
+            store = ResilientStore(raw, settings.store)
             entry = Entry(settings, store, directory)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_stop_on_signal, entry.gate)
@@ -327,7 +327,7 @@
 async def _stop(entry: Entry) -> None:
     """Drain, give back what is held, and leave the members."""
     _log.info('draining', in_flight=entry.gate.in_flight_count)
-    entry.registration.leave()
+    entry.registration.mark_leaving()
     with trio.move_on_after(_JOBS_GRACE_S):
         await entry.batch.shards.hand_over_all()
     is_empty = await entry.gate.drain(
@@ -337,7 +337,7 @@
     with trio.move_on_after(_HTTP_GRACE_S):
         await entry.keeper.stop()
         await entry.shards.hand_over_all()
-        await entry.registration.withdraw()
+        await entry.registration.deregister()
     _log.info('stopped', is_empty=is_empty)
 
 
--- a/src/marjoramwharf/programs/platform_entry.py
+++ b/src/marjoramwharf/programs/platform_entry.py
@@ -26,8 +26,8 @@
 from marjoramwharf.cells.counters import CellCounters
 from marjoramwharf.errors import BadSettings
 from marjoramwharf.ids import Incarnation, random_id
-from marjoramwharf.links.follower import Apply, Follower
-from marjoramwharf.links.http_client import LeanClient
+from marjoramwharf.links.prefix_watcher import BatchHandler, PrefixWatcher
+from marjoramwharf.links.http_client import HttpClient
 from marjoramwharf.links.http_server import (
     HttpServer,
     open_listener,
@@ -35,11 +35,11 @@
 from marjoramwharf.links.peer_messages import Message, PeerIdentity
 from marjoramwharf.links.peer_server import PeerServer
 from marjoramwharf.links.relayed_store import RelayedStore
-from marjoramwharf.links.store_reach import StoreReach
+from marjoramwharf.links.store_reachability import StoreReachability
 from marjoramwharf.links.store_relay import (
     STORE_METHOD,
     StoreRelay,
-    answer_store_call,
+    handle_store_call,
 )
 from marjoramwharf.links.thrift_types.peer import ttypes
 from marjoramwharf.log_output import BoundedOutput
@@ -97,8 +97,8 @@
 _STOP_MARGIN_S = 1.0
 
 
-def _client() -> LeanClient:
-    return LeanClient(connect_timeout_s=_CONNECT_TIMEOUT_S)
+def _client() -> HttpClient:
+    return HttpClient(connect_timeout_s=_CONNECT_TIMEOUT_S)
 
 
 @dataclass(slots=True)
@@ -107,7 +107,7 @@
 
     place: EntryPlace
     secret: str = field(default_factory=random_id)
-    client: LeanClient = field(default_factory=_client)
+    client: HttpClient = field(default_factory=_client)
     view: OwnerView = field(default_factory=OwnerView)
     config: ConfigKeeper = field(
         default_factory=partial(
@@ -136,16 +136,16 @@
             port=place.peer_ports[0],
             secret=self.secret,
         )
-        reach = StoreReach()
+        reachability = StoreReachability()
         self.relay = StoreRelay(
             lambda: self.directory.known,
             self.identity,
-            reach,
+            reachability,
         )
         self.store = RelayedStore(
             self._direct_store(self.client, _STORE_TIMEOUT_S),
             self.relay,
-            reach,
+            reachability,
         )
         self.directory = EntryDirectory(self.store, record)
         self.owner_link = OwnerLink(
@@ -159,8 +159,8 @@
             store=RelayedStore(
                 self._direct_store(_client(), _RENEWAL_TIMEOUT_S),
                 self.relay,
-                reach,
-                self.store.relay_reach,
+                reachability,
+                self.store.relay_reachability,
             ),
             view=self.view,
             cell=_CELL,
@@ -271,22 +271,24 @@
         call: Message,
     ) -> Message:
         if call.method == STORE_METHOD:
-            return await answer_store_call(
+            return await handle_store_call(
                 self.store.direct,
-                self.store.reach,
+                self.store.reachability,
                 call,
             )
         return await answer_job_call(self.owned_cell, sender, call)
 
-    def _direct_store(self, client: LeanClient, timeout_s: float) -> KvStore:
+    def _direct_store(self, client: HttpClient, timeout_s: float) -> KvStore:
         return KvStore(client, self.place.store_address, timeout_s=timeout_s)
 
     def _advice(self) -> PlatformAdviceCalls | None:
         address = self.place.advice_address
         return PlatformAdviceCalls(self.client, address) if address else None
 
-    async def _follow(self, prefix: str, apply: Apply, wait_ms: int) -> None:
-        await Follower(self.store, prefix, apply, wait_ms).run()
+    async def _follow(
+        self, prefix: str, apply: BatchHandler, wait_ms: int
+    ) -> None:
+        await PrefixWatcher(self.store, prefix, apply, wait_ms).run()
 
     async def _listen(self, nursery: trio.Nursery) -> None:
         place = self.place
@@ -345,7 +347,10 @@
         await self.campaign.withdraw()
         await trio.sleep(min(_READINESS_GAP_S, grace_s / 2))
         self.front.drain()
-        while self.front.busy_count and trio.current_time() < deadline_s:
+        while (
+            self.front.active_requests_count
+            and trio.current_time() < deadline_s
+        ):
             await trio.sleep(0.02)
 
 
--- a/src/marjoramwharf/service/_attempts.py
+++ b/src/marjoramwharf/service/_attempts.py
@@ -21,7 +21,7 @@
 from marjoramwharf.service.dispatch_parts import DispatchParts
 from marjoramwharf.service.request import Done, NotRun, ServiceRequest
 from marjoramwharf.service.retry import is_good
-from marjoramwharf.tracing import hop
+from marjoramwharf.tracing import start_span
 
 _MS_PER_S = 1_000
 _ADMIT_TRIES_COUNT = 3
@@ -138,7 +138,7 @@
         call = _call(request, permit, call_id, timeout_ms)
         if incarnation is not None:
             call = replace(call, incarnation=incarnation)
-        with hop('dispatch.attempt') as span, ExitStack() as stack:
+        with start_span('dispatch.attempt') as span, ExitStack() as stack:
             span.set_attribute('worker', permit.worker_id)
             span.set_attribute('request_id', request.request_id)
             stack.callback(self._account, request, attempt)
--- a/src/marjoramwharf/service/dispatch.py
+++ b/src/marjoramwharf/service/dispatch.py
@@ -19,7 +19,7 @@
     ServiceRequest,
     Unknown,
 )
-from marjoramwharf.tracing import hop
+from marjoramwharf.tracing import start_span
 
 
 class Dispatcher:
@@ -35,7 +35,7 @@
     async def serve(self, request: ServiceRequest) -> Outcome:
         """Return the answer, the proof that nothing ran, or "unknown"."""
         self._parts.policy.budget.request_arrived(self._parts.clock())
-        with hop('dispatch') as span:
+        with start_span('dispatch') as span:
             span.set_attribute('service', request.service)
             span.set_attribute('request_id', request.request_id)
             outcome = await self._serve(request)
--- a/src/marjoramwharf/service/http_api.py
+++ b/src/marjoramwharf/service/http_api.py
@@ -25,7 +25,7 @@
     Unknown,
 )
 from marjoramwharf.settings import ServiceSettings
-from marjoramwharf.tracing import hop
+from marjoramwharf.tracing import start_span
 
 _MAX_NAME_LENGTH = 128
 _MS_PER_S = 1_000
@@ -88,7 +88,9 @@
         return _respond(parsed)
     structlog.contextvars.bind_contextvars(request_id=parsed.request_id)
     headers = dict(request.headers.items())
-    with hop('entry.request', kind=SpanKind.SERVER, headers=headers) as span:
+    with start_span(
+        'entry.request', kind=SpanKind.SERVER, headers=headers
+    ) as span:
         span.set_attribute('request_id', parsed.request_id)
         outcome = await parts.serve(parsed)
     _count(parts, service, outcome, started_s)
--- a/src/marjoramwharf/tracing.py
+++ b/src/marjoramwharf/tracing.py
@@ -20,7 +20,7 @@
 
 
 @contextmanager
-def hop(
+def start_span(
     name: str,
     *,
     kind: trace.SpanKind = trace.SpanKind.INTERNAL,
--- a/standins/memory_store.py
+++ b/standins/memory_store.py
@@ -13,7 +13,7 @@
     Committed,
     Conflict,
     Guard,
-    PrefixReading,
+    PrefixSnapshot,
     StoredValue,
     Urgency,
     WatchBatch,
@@ -51,11 +51,11 @@
         prefix: str,
         *,
         urgency: Urgency,
-    ) -> PrefixReading:
+    ) -> PrefixSnapshot:
         """Return all values below a prefix."""
         await self._enter()
         self.reads_count += 1
-        return PrefixReading(self.state.revision, self.state.below(prefix))
+        return PrefixSnapshot(self.state.revision, self.state.below(prefix))
 
     async def commit(
         self,
--- a/standins/platform_wire.py
+++ b/standins/platform_wire.py
@@ -24,7 +24,7 @@
     StopOrder,
 )
 from marjoramwharf.ids import LeaseId, TaskId
-from marjoramwharf.links.http_server import HttpReply, HttpRequest
+from marjoramwharf.links.http_server import HttpResponse, HttpRequest
 from marjoramwharf.links.store import Guard, StoredValue, StoreEvent, Write
 from standins.kv_state import KeyValueState
 from standins.run_worker import RunWorker
@@ -41,9 +41,9 @@
 }
 
 
-def json_reply(body: Any, status: int = 200) -> HttpReply:
+def json_reply(body: Any, status: int = 200) -> HttpResponse:
     """Return an answer with a JSON body."""
-    return HttpReply(status, json.dumps(body).encode())
+    return HttpResponse(status, json.dumps(body).encode())
 
 
 @dataclass
@@ -58,7 +58,7 @@
     refuse: bool = False
     answers_to_lose: int = 0
 
-    async def handle(self, request: HttpRequest) -> HttpReply:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer one call."""
         if self.refuse:
             return json_reply({}, 503)
@@ -77,7 +77,7 @@
             raise trio.BrokenResourceError
         return reply
 
-    def _reads(self, call: str, query: dict[str, str]) -> HttpReply | None:
+    def _reads(self, call: str, query: dict[str, str]) -> HttpResponse | None:
         if call == 'GET /kv-key':
             stored = self.state.stored.get(query['Key'])
             if stored is None:
@@ -98,7 +98,7 @@
             )
         return None
 
-    def _writes(self, call: str, body: dict[str, Any]) -> HttpReply:
+    def _writes(self, call: str, body: dict[str, Any]) -> HttpResponse:
         now_s = trio.current_time()
         verb, _, argument = call.rpartition('/')
         if call == 'POST /kv-txn':
@@ -117,7 +117,7 @@
             return json_reply({})
         return json_reply({}, 404)
 
-    def _transact(self, body: dict[str, Any]) -> HttpReply:
+    def _transact(self, body: dict[str, Any]) -> HttpResponse:
         guards = [
             Guard(row['Key'], row['Revision']) for row in body.get('Expect', ())
         ]
@@ -142,7 +142,7 @@
         except ValueError:
             return json_reply({}, 404)
 
-    async def _watch(self, query: dict[str, str]) -> HttpReply:
+    async def _watch(self, query: dict[str, str]) -> HttpResponse:
         after = int(query['After'])
         until_s = trio.current_time() + int(query['WaitMs']) / _MS_PER_S
         if after < self.state.compacted_revision:
@@ -187,7 +187,7 @@
     worker: RunWorker
     starts_to_lose: int = 0
 
-    async def handle(self, request: HttpRequest) -> HttpReply:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer one call."""
         body = json.loads(request.body or b'{}')
         path = urlsplit(request.target).path
@@ -240,7 +240,7 @@
         )
         return self.worker.pace(order, trio.current_time())
 
-    async def _hold(self, body: dict[str, Any]) -> HttpReply:
+    async def _hold(self, body: dict[str, Any]) -> HttpResponse:
         order = HoldOrder(
             fence=body.get('Fence', 0),
             noted_end=body.get('LastSeen', 0),
--- a/standins/polling_store.py
+++ b/standins/polling_store.py
@@ -18,7 +18,7 @@
     Committed,
     Conflict,
     Guard,
-    PrefixReading,
+    PrefixSnapshot,
     StoredValue,
     WatchBatch,
     Write,
@@ -52,11 +52,11 @@
         self.reads_count += 1
         return self.state.stored.get(key)
 
-    async def read_prefix(self, prefix: str) -> PrefixReading:
+    async def read_prefix(self, prefix: str) -> PrefixSnapshot:
         """Return all values below a prefix."""
         await self._enter()
         self.reads_count += 1
-        return PrefixReading(self.state.revision, self.state.below(prefix))
+        return PrefixSnapshot(self.state.revision, self.state.below(prefix))
 
     async def commit(
         self,
--- a/tests/cells/test_intake.py
+++ b/tests/cells/test_intake.py
@@ -22,7 +22,7 @@
     request_key,
 )
 from marjoramwharf.ids import DataCentreId, EntryId, Incarnation, JobId
-from marjoramwharf.links.http_server import HttpReply, HttpRequest
+from marjoramwharf.links.http_server import HttpResponse, HttpRequest
 from marjoramwharf.links.peer_messages import PeerIdentity
 from marjoramwharf.links.store import Write
 from marjoramwharf.platform.front import Front
@@ -54,7 +54,7 @@
         *,
         body: bytes = b'',
         host: str = 'a.example',
-    ) -> HttpReply:
+    ) -> HttpResponse:
         """Send one request to the front."""
         return await self.front.handle(
             HttpRequest(
@@ -93,7 +93,7 @@
     return False
 
 
-def _read(reply: HttpReply) -> Any:
+def _read(reply: HttpResponse) -> Any:
     return json.loads(reply.body)
 
 
--- a/tests/cells/world.py
+++ b/tests/cells/world.py
@@ -27,7 +27,7 @@
 from marjoramwharf.cells.status import ShownState
 from marjoramwharf.errors import BadListing
 from marjoramwharf.ids import DataCentreId, JobId, TaskId, WorkerId
-from marjoramwharf.links.follower import Follower
+from marjoramwharf.links.prefix_watcher import PrefixWatcher
 from marjoramwharf.links.store import Guard, Write
 from marjoramwharf.scheduling.fleet import Room, WorkerListing, WorkerState
 from marjoramwharf.scheduling.policy import Configuration, QueuePolicy
@@ -216,7 +216,7 @@
     async def _run_owner(self, owner: Owner) -> None:
         with owner.scope:
             async with trio.open_nursery() as nursery:
-                follower = Follower(
+                follower = PrefixWatcher(
                     self.store,
                     OWNERS_PREFIX,
                     owner.view.apply,
--- a/tests/links/test_etcd_answers.py
+++ b/tests/links/test_etcd_responses.py
@@ -66,7 +66,7 @@
     )
     def test_range_is_the_prefix(self, prefix: str, key: str) -> None:
         """Guards against a wrong end for prefixes with high bytes."""
-        fields = wire.range_of(prefix)
+        fields = wire.encode_range(prefix)
         start, end = map(wire.decode, fields.values())
         for candidate in (key, prefix + key):
             raw = candidate.encode()
--- a/tests/links/test_http.py
+++ b/tests/links/test_http.py
@@ -11,22 +11,22 @@
 
 from marjoramwharf.links.http_client import (
     CallFailed,
-    LeanClient,
+    HttpClient,
     NotConnected,
-    is_refused,
+    is_connection_refused,
 )
 from marjoramwharf.links.http_server import (
     HttpLimits,
-    HttpReply,
+    HttpResponse,
     HttpRequest,
     HttpServer,
     open_listener,
 )
 
 
-async def _echo(request: HttpRequest) -> HttpReply:
+async def _echo(request: HttpRequest) -> HttpResponse:
     await trio.sleep(float(request.headers.get('x-wait-s', '0')))
-    return HttpReply(200, request.method.encode() + request.body)
+    return HttpResponse(200, request.method.encode() + request.body)
 
 
 @asynccontextmanager
@@ -70,7 +70,7 @@
         trio.run(self._drain)
 
     async def _kept_connection(self) -> None:
-        client = LeanClient()
+        client = HttpClient()
         async with _serving() as (_, url):
             for number in range(5):
                 answer = await client.request(
@@ -84,7 +84,7 @@
 
     async def _limits(self) -> None:
         async with _serving(HttpLimits(body_bytes=10)) as (_, url):
-            answer = await LeanClient().request(
+            answer = await HttpClient().request(
                 'POST',
                 url,
                 body=b'x' * 11,
@@ -93,7 +93,7 @@
             self.assertEqual(413, answer.status)
 
     async def _timeout(self) -> None:
-        client = LeanClient()
+        client = HttpClient()
         async with _serving() as (_, url):
             with self.assertRaises(CallFailed):
                 await client.request(
@@ -107,12 +107,12 @@
 
     async def _nothing_listens(self) -> None:
         with self.assertRaises(NotConnected) as caught:
-            await LeanClient().request(
+            await HttpClient().request(
                 'GET',
                 'http://127.0.0.1:1/',
                 timeout_s=2,
             )
-        self.assertTrue(is_refused(caught.exception))
+        self.assertTrue(is_connection_refused(caught.exception))
 
     async def _no_answer_to_a_connect(self) -> None:
         """Connect to a listener whose queue of connections is full."""
@@ -126,14 +126,14 @@
                     waiting.setblocking(False)
                     waiting.connect_ex(address)
                 with self.assertRaises(NotConnected):
-                    await LeanClient().request(
+                    await HttpClient().request(
                         'GET',
                         f'http://127.0.0.1:{address[1]}/',
                         timeout_s=0.2,
                     )
 
     async def _drain(self) -> None:
-        client = LeanClient()
+        client = HttpClient()
         answers: list[bytes] = []
 
         async def ask(url: str, wait_s: str) -> None:
--- a/tests/links/test_members.py
+++ b/tests/links/test_members.py
@@ -20,7 +20,7 @@
     Registration,
 )
 from marjoramwharf.links.store import Write
-from marjoramwharf.links.store_guard import GuardedStore
+from marjoramwharf.links.resilient_store import ResilientStore
 from marjoramwharf.settings import StoreSettings
 from standins.kv_state import KeyValueState
 from standins.memory_store import MemoryStore
@@ -122,11 +122,11 @@
         view = MemberView(self.store)
         await nursery.start(registration.run)
         await nursery.start(view.run)
-        registration.leave()
+        registration.mark_leaving()
         await view.wait_change()
         self.assertEqual(view.live(), ())
         self.assertEqual(view.known()[0].state, MemberState.LEAVING)
-        await registration.withdraw()
+        await registration.deregister()
         await trio.sleep(_TTL_S)
         self.assertIsNone(view.find(_ID))
 
@@ -168,13 +168,13 @@
                 url = await nursery.start(serve_app, standin.app)
                 settings = StoreSettings(url=url, timeout_ms=5_000)
                 async with open_store(settings) as store:
-                    guarded = GuardedStore(store, settings)
+                    guarded = ResilientStore(store, settings)
                     await self._check(guarded, standin, nursery)
                     nursery.cancel_scope.cancel()
 
     async def _check(
         self,
-        store: GuardedStore,
+        store: ResilientStore,
         standin: StoreStandin,
         nursery: trio.Nursery,
     ) -> None:
--- a/tests/links/test_peer.py
+++ b/tests/links/test_peer.py
@@ -28,7 +28,7 @@
 from marjoramwharf.links.peer_messages import (
     Message,
     PeerIdentity,
-    hello,
+    make_hello,
     pack,
 )
 from marjoramwharf.links.peer_server import PeerServer
@@ -154,7 +154,7 @@
 
         async def pose(stream: trio.abc.Stream) -> None:
             frames = FrameStream(stream)
-            greeting = hello(_identity('e2'), nonce='n', proof='')
+            greeting = make_hello(_identity('e2'), nonce='n', proof='')
             await frames.send(pack(0, greeting))
             await frames.receive()
             await frames.send(pack(0, greeting, is_reply=True))
--- a/tests/links/test_follower.py
+++ b/tests/links/test_prefix_watcher.py
@@ -7,7 +7,7 @@
 import trio
 from trio.testing import MockClock
 
-from marjoramwharf.links.follower import Follower
+from marjoramwharf.links.prefix_watcher import PrefixWatcher
 from marjoramwharf.links.store import WatchBatch, Write
 from standins.polling_store import PollingMemoryStore
 
@@ -20,7 +20,7 @@
         self.store = PollingMemoryStore()
         self.seen: dict[str, bytes] = {}
         self.restarts_count = 0
-        self.follower = Follower(self.store, 'a/', self._apply)
+        self.follower = PrefixWatcher(self.store, 'a/', self._apply)
 
     def test_changes(self) -> None:
         """Guards against changes that are lost between two calls."""
--- a/tests/links/test_relayed_store.py
+++ b/tests/links/test_relayed_store.py
@@ -27,11 +27,11 @@
 from marjoramwharf.links.relayed_store import RelayedStore
 from marjoramwharf.links.store import Committed, Guard, Write
 from marjoramwharf.links.store_calls import decode_call, decode_reply
-from marjoramwharf.links.store_reach import StoreReach
+from marjoramwharf.links.store_reachability import StoreReachability
 from marjoramwharf.links.store_relay import (
     PeerAddress,
     StoreRelay,
-    answer_store_call,
+    handle_store_call,
 )
 from marjoramwharf.links.thrift_types.peer import ttypes
 from standins.polling_store import PollingMemoryStore
@@ -49,14 +49,17 @@
 
     own: PollingMemoryStore
     of_peer: PollingMemoryStore
-    peer_reach: StoreReach
+    peer_reachability: StoreReachability
     store: RelayedStore
 
     async def turn_away(self) -> None:
         """Let the store refuse e1 until its peer is connected."""
         self.own.is_down = True
         with trio.fail_after(5):
-            while not (self.store.reach.is_away and self.store.is_reachable):
+            while not (
+                self.store.reachability.is_unreachable
+                and self.store.is_reachable
+            ):
                 try:
                     await self.store.read('x')
                 except StoreUnavailable:
@@ -67,10 +70,10 @@
 async def _pair() -> AsyncIterator[_Pair]:
     own = PollingMemoryStore()
     of_peer = PollingMemoryStore(own.state)
-    peer_reach = StoreReach()
+    peer_reachability = StoreReachability()
 
     async def answer(_sender: PeerIdentity, call: Message) -> Message:
-        return await answer_store_call(of_peer, peer_reach, call)
+        return await handle_store_call(of_peer, peer_reachability, call)
 
     server = PeerServer(
         {ttypes.JobCall: answer},
@@ -79,7 +82,7 @@
     )
     listener = await open_listener('127.0.0.1', 0)
     port = listener.socket.getsockname()[1]
-    reach = StoreReach()
+    reachability = StoreReachability()
     peers = (
         PeerAddress('e1', '127.0.0.1', 1, 'its own'),
         PeerAddress('e2', '127.0.0.1', port, _SECRET),
@@ -87,17 +90,17 @@
     relay = StoreRelay(
         lambda: peers,
         _identity('e1'),
-        reach,
+        reachability,
         random.Random(1),
     )
-    store = RelayedStore(own, relay, reach)
+    store = RelayedStore(own, relay, reachability)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(
             partial(trio.serve_listeners, server.serve, [listener])
         )
         nursery.start_soon(relay.run)
         nursery.start_soon(store.run_probe)
-        yield _Pair(own, of_peer, peer_reach, store)
+        yield _Pair(own, of_peer, peer_reachability, store)
         nursery.cancel_scope.cancel()
 
 
@@ -122,16 +125,16 @@
 
     def test_one_lost_answer(self) -> None:
         """Guards against a detour after a single failure."""
-        reach = StoreReach()
-        reach.answered(now_s=1)
-        reach.failed(now_s=5)
-        self.assertFalse(reach.is_away)
-        reach.answered(now_s=5.1)
-        reach.failed(now_s=5.2)
-        reach.failed(now_s=5.3)
-        self.assertFalse(reach.is_away)
-        reach.failed(now_s=5.5)
-        self.assertTrue(reach.is_away)
+        reachability = StoreReachability()
+        reachability.record_answer(now_s=1)
+        reachability.record_failure(now_s=5)
+        self.assertFalse(reachability.is_unreachable)
+        reachability.record_answer(now_s=5.1)
+        reachability.record_failure(now_s=5.2)
+        reachability.record_failure(now_s=5.3)
+        self.assertFalse(reachability.is_unreachable)
+        reachability.record_failure(now_s=5.5)
+        self.assertTrue(reachability.is_unreachable)
 
     async def _every_call(self) -> None:
         async with _pair() as pair:
@@ -190,7 +193,7 @@
             await pair.turn_away()
             pair.own.is_down = False
             with trio.fail_after(5):
-                while pair.store.reach.is_away:
+                while pair.store.reachability.is_unreachable:
                     await trio.sleep(0.05)
             before = pair.of_peer.reads_count
             await pair.store.read('x')
--- a/tests/links/test_store_guard.py
+++ b/tests/links/test_resilient_store.py
@@ -15,7 +15,7 @@
     StoreUnavailable,
 )
 from marjoramwharf.links.store import Guard, Urgency, Write
-from marjoramwharf.links.store_guard import GuardedStore
+from marjoramwharf.links.resilient_store import ResilientStore
 from marjoramwharf.links.store_health import StoreHealth
 from marjoramwharf.settings import StoreSettings
 from standins.memory_store import MemoryStore
@@ -29,7 +29,7 @@
     trio.run(check, clock=MockClock(autojump_threshold=0))
 
 
-class GuardedStoreTests(unittest.TestCase):
+class ResilientStoreTests(unittest.TestCase):
     """Guards against a client that harms a store in trouble."""
 
     def test_health_has_hysteresis(self) -> None:
@@ -94,9 +94,9 @@
         self.assertEqual(await guarded.keep_alive(lease), 5)
         self.assertEqual(guarded.counters.shed_count, 1)
 
-    def _guarded(self) -> GuardedStore:
-        return GuardedStore(
+    def _guarded(self) -> ResilientStore:
+        return ResilientStore(
             self.store,
             StoreSettings(url='http://unused', writes_per_s=10),
-            source=random.Random(1),
+            rng=random.Random(1),
         )
--- a/tests/links/test_store_budget.py
+++ b/tests/links/test_store_budget.py
@@ -38,7 +38,7 @@
         """Guards against a retry hint that is too short."""
         bucket = TokenBucket(rate_per_s=100, now_s=0)
         _admitted_until_shed(bucket, Urgency.STATUS)
-        wait_s = bucket.wait_s(Urgency.STATUS, 0)
+        wait_s = bucket.compute_wait_s(Urgency.STATUS, 0)
         self.assertFalse(bucket.admit(Urgency.STATUS, wait_s / 2))
         self.assertTrue(bucket.admit(Urgency.STATUS, wait_s * 1.001))
 
@@ -80,13 +80,13 @@
             now_s=0,
         )
         for _ in range(5):
-            budget.watch_opened(0)
+            budget.add_watch(0)
         for _ in range(10):
-            budget.spend_read(Urgency.JOB, 0)
+            budget.admit_read(Urgency.JOB, 0)
         with self.assertRaises(StoreBudgetSpent) as shed:
-            budget.spend_read(Urgency.JOB, 0)
+            budget.admit_read(Urgency.JOB, 0)
         self.assertEqual(shed.exception.retry_after_s, 0.2)
-        budget.spend_write(Urgency.STATUS, 0)
+        budget.admit_write(Urgency.STATUS, 0)
 
 
 def _admitted_until_shed(bucket: TokenBucket, urgency: Urgency) -> int:
--- a/tests/links/test_store_settle.py
+++ b/tests/links/test_store_settlement.py
@@ -17,7 +17,7 @@
     Urgency,
     Write,
 )
-from marjoramwharf.links.store_settle import settled_commit
+from marjoramwharf.links.store_settlement import commit_and_settle
 from standins.memory_store import MemoryStore
 
 _KEY = '/once/team/1'
@@ -59,7 +59,7 @@
 
 
 async def _settle(store: MemoryStore) -> Committed | Conflict:
-    return await settled_commit(store, _CREATE, _OURS, urgency=Urgency.CLAIM)
+    return await commit_and_settle(store, _CREATE, _OURS, urgency=Urgency.CLAIM)
 
 
 class SettledCommitTests(unittest.TestCase):
@@ -130,7 +130,7 @@
             await _settle(self.store)
 
     async def _conflicts_with_owner(self) -> None:
-        outcome = await settled_commit(
+        outcome = await commit_and_settle(
             self.store,
             (*_CREATE, Guard(_OWNER, 0)),
             _OURS,
@@ -140,7 +140,7 @@
 
     async def _unguarded_is_unknown(self) -> None:
         with self.assertRaises(StoreAnswerLost):
-            await settled_commit(self.store, (), _OURS, urgency=Urgency.JOB)
+            await commit_and_settle(self.store, (), _OURS, urgency=Urgency.JOB)
 
     def _another_writes(self, key: str) -> None:
         self.store.state.apply([Write(key, b'other')])
--- a/tests/platform/serving.py
+++ b/tests/platform/serving.py
@@ -11,7 +11,7 @@
 import trio
 
 from marjoramwharf.links.http_server import (
-    HttpReply,
+    HttpResponse,
     HttpRequest,
     HttpServer,
     open_listener,
@@ -29,14 +29,14 @@
     seen: list[HttpRequest] = field(default_factory=list)
     address: str = ''
 
-    async def handle(self, request: HttpRequest) -> HttpReply:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer one request."""
         self.seen.append(request)
         await trio.lowlevel.checkpoint()
         reply = self.replies.pop(0)
         if reply is None:
             raise trio.BrokenResourceError
-        return HttpReply(reply[0], json.dumps(reply[1]).encode())
+        return HttpResponse(reply[0], json.dumps(reply[1]).encode())
 
     def body(self, index: int) -> Any:
         """Return a request's body."""
--- a/tests/platform/test_kv_store.py
+++ b/tests/platform/test_kv_store.py
@@ -15,7 +15,7 @@
     StoreUnavailable,
 )
 from marjoramwharf.ids import LeaseId
-from marjoramwharf.links.http_client import LeanClient
+from marjoramwharf.links.http_client import HttpClient
 from marjoramwharf.links.store import Committed, Conflict, Guard, Write
 from marjoramwharf.platform.kv_store import KvStore
 from tests.platform.serving import Script, scripted
@@ -32,7 +32,7 @@
 
 
 def _store(script: Script) -> KvStore:
-    return KvStore(LeanClient(), script.address, timeout_s=2)
+    return KvStore(HttpClient(), script.address, timeout_s=2)
 
 
 class KvStoreTests(unittest.TestCase):
@@ -149,6 +149,6 @@
                 await store.commit([], [Write('a', b'')])
             with self.assertRaises(StoreRefused):
                 await store.commit([], [Write('op/config', b'')])
-        nowhere = KvStore(LeanClient(), '127.0.0.1:1', timeout_s=2)
+        nowhere = KvStore(HttpClient(), '127.0.0.1:1', timeout_s=2)
         with self.assertRaises(StoreUnavailable):
             await nowhere.commit([], [Write('a', b'')])
--- a/tests/platform/test_worker_calls.py
+++ b/tests/platform/test_worker_calls.py
@@ -15,7 +15,7 @@
     WorkerAddress,
 )
 from marjoramwharf.ids import TaskId, WorkerId
-from marjoramwharf.links.http_client import LeanClient
+from marjoramwharf.links.http_client import HttpClient
 from marjoramwharf.platform.worker_calls import PlatformWorkerCalls
 from marjoramwharf.scheduling.job_state import RunEnd
 from tests.platform.serving import Script, scripted
@@ -34,7 +34,7 @@
 
     def setUp(self) -> None:
         """Use one client for each test."""
-        self.calls = PlatformWorkerCalls(LeanClient())
+        self.calls = PlatformWorkerCalls(HttpClient())
 
     def test_start(self) -> None:
         """Guards against an order that is sent wrong."""
--- a/tests/programs/test_gauges.py
+++ b/tests/programs/test_gauges.py
@@ -12,7 +12,7 @@
 
 from marjoramwharf.links.directory import DirectoryClient
 from marjoramwharf.links.store import Urgency
-from marjoramwharf.links.store_guard import GuardedStore
+from marjoramwharf.links.resilient_store import ResilientStore
 from marjoramwharf.programs.entry import Entry
 from marjoramwharf.settings import EntrySettings
 from standins.memory_store import MemoryStore
@@ -62,7 +62,7 @@
 
 
 async def _scrape_twice() -> tuple[str, str]:
-    store = GuardedStore(MemoryStore(), _SETTINGS.store)
+    store = ResilientStore(MemoryStore(), _SETTINGS.store)
     async with httpx.AsyncClient() as http:
         entry = Entry(_SETTINGS, store, DirectoryClient(http))
         client = entry.app().test_client()
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -25,14 +25,14 @@
         """Guards against a pipe that nobody reads."""
         for _ in range(500):
             self.output.warning('x' * 1_000)
-        self.assertGreater(self.output.left_out_count, 0)
+        self.assertGreater(self.output.dropped_lines_count, 0)
         text = self._read_text()
         self.output.warning('after')
         lines = (text + self._read_text()).splitlines()
         self.assertEqual('after', lines[-1])
         reports = [line for line in lines if line.startswith('{')]
         counted = sum(json.loads(report)['count'] for report in reports)
-        self.assertEqual(self.output.left_out_count, counted)
+        self.assertEqual(self.output.dropped_lines_count, counted)
         others = set(lines) - set(reports)
         self.assertEqual({'x' * 1_000, 'after'}, others)
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -31,7 +31,7 @@
     resumed_twice,
 )
 from tools.jobs_load import job_body, job_headers
-from marjoramwharf.links.http_client import LeanClient
+from marjoramwharf.links.http_client import HttpClient
 from tools.load import Balancer, Callers, Planned
 
 _EXAMPLES = pathlib.Path('examples')
@@ -166,7 +166,7 @@
 ) -> tuple[dict[str, Any], bool]:
     balancer = Balancer(fleet.entries)
     demo = Demo(fleet, http, balancer)
-    lean = LeanClient()
+    lean = HttpClient()
     callers = Callers(
         lean,
         balancer,
--- a/tools/load.py
+++ b/tools/load.py
@@ -19,9 +19,9 @@
 from tools.fleet import Address
 from tools.history import CallerOutcome, CallerRecord
 from marjoramwharf.links.http_client import (
-    Answer,
+    ClientResponse,
     CallFailed,
-    LeanClient,
+    HttpClient,
     NotConnected,
 )
 
@@ -73,13 +73,13 @@
                 return entry
         return self.entries[self._turn % len(self.entries)]
 
-    async def poll(self, http: LeanClient) -> None:
+    async def poll(self, http: HttpClient) -> None:
         """Follow the readiness of the entries until cancelled."""
         async with trio.open_nursery() as nursery:
             for entry in self.entries:
                 nursery.start_soon(self._poll_one, http, entry)
 
-    async def _poll_one(self, http: LeanClient, entry: Address) -> None:
+    async def _poll_one(self, http: HttpClient, entry: Address) -> None:
         while True:
             url = f'{entry.url}/readyz'
             is_ready = False
@@ -122,7 +122,7 @@
 
     def __init__(
         self,
-        http: LeanClient,
+        http: HttpClient,
         balancer: Balancer,
         *,
         service: str,
@@ -198,7 +198,7 @@
         request_id: str,
         *,
         is_first: bool,
-    ) -> Answer:
+    ) -> ClientResponse:
         headers = {
             'Content-Type': 'application/json',
             'X-Request-Id': request_id,
@@ -221,8 +221,8 @@
     async def _ask_later(
         self,
         planned: Planned,
-        answer: Answer,
-    ) -> Answer:
+        answer: ClientResponse,
+    ) -> ClientResponse:
         location = answer.headers.get('location')
         give_up_s = trio.current_time() + _SETTLE_LIMIT_S
         while location and answer.status == 202:
@@ -242,7 +242,7 @@
 
 def _judge(
     planned: Planned,
-    answer: Answer,
+    answer: ClientResponse,
 ) -> tuple[CallerOutcome, bool]:
     """Classify an answer; the stand-in's answer is the request's body."""
     if answer.status == 202:
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -28,7 +28,7 @@
 from tools.fleet import OPERATOR_TOKEN, Fleet, WorkerShape, stopping
 from tools.history import CallerRecord, WorkerRecord, check, read_record
 from tools.jobs_load import JobLoad, plan_jobs, with_jobs
-from marjoramwharf.links.http_client import LeanClient
+from marjoramwharf.links.http_client import HttpClient
 from tools.load import Balancer, Callers, Planned, Seen, schedule
 from tools.processes import Process
 
@@ -176,7 +176,7 @@
     callers = _callers(scene, balancer, plan.timeout_ms)
     jobs = JobLoad(http, balancer)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(balancer.poll, LeanClient())
+        nursery.start_soon(balancer.poll, HttpClient())
         await _declare_service(fleet, http)
         await trio.sleep(_SETTLE_S)
         before = await _store_counters(fleet, http)
@@ -209,7 +209,7 @@
     timeout_ms: int,
 ) -> Callers:
     return Callers(
-        LeanClient(),
+        HttpClient(),
         balancer,
         service=scene.fleet.deployment.service,
         timeout_ms=timeout_ms,
--- a/tools/platform_demo.py
+++ b/tools/platform_demo.py
@@ -18,7 +18,11 @@
 
 import trio
 
-from marjoramwharf.links.http_client import Answer, CallFailed, LeanClient
+from marjoramwharf.links.http_client import (
+    ClientResponse,
+    CallFailed,
+    HttpClient,
+)
 from standins.platform_process import (
     HOST,
     QUEUE_HOST,
@@ -58,7 +62,7 @@
     """The processes of one run."""
 
     folder: pathlib.Path
-    client: LeanClient = field(default_factory=LeanClient)
+    client: HttpClient = field(default_factory=HttpClient)
     entries: list[Process] = field(default_factory=list)
     fronts: list[str] = field(default_factory=list)
     platform: Process | None = None
@@ -132,7 +136,9 @@
         except CallFailed:
             return False
 
-    async def _ask(self, method: str, url: str, body: bytes = b'') -> Answer:
+    async def _ask(
+        self, method: str, url: str, body: bytes = b''
+    ) -> ClientResponse:
         return await self.client.request(
             method,
             url,
