--- a/src/marjoramwharf/links/_etcd_responses.py
+++ b/src/marjoramwharf/links/_etcd_responses.py
@@ -1,4 +1,4 @@
-"""What the status of an answer of the etcd gateway proves."""
+"""Maps the error responses of the etcd gateway to failures."""
 
 from __future__ import annotations
 
@@ -13,17 +13,16 @@
 from marjoramwharf.json_bodies import decode_json
 from marjoramwharf.links import _etcd_wire as wire
 
-# Server errors that the service gives before it proposes the write.
+# Messages of server errors that occur before the write is proposed.
 _NOT_PROPOSED = frozenset(('etcdserver: no leader',))
 
 
 async def check_status(response: httpx.Response) -> None:
-    """Return for status 200 only.
+    """Raise the failure of a response whose status is not 200.
 
     Raises ``StoreRefused`` for a client error, ``StoreUnavailable`` for a
-    server error that precedes the proposal, else ``StoreAnswerLost``: an
-    error such as "request timed out" doesn't prove that the write is not
-    applied later.
+    server error before the proposal, else ``StoreAnswerLost``: an error such
+    as "request timed out" doesn't prove that the write is not applied later.
     """
     if response.status_code == httpx.codes.OK:
         return
@@ -32,7 +31,7 @@
         error = decode_json(response.content, wire.ErrorResponse)
     except msgspec.DecodeError:
         error = wire.ErrorResponse()
-    message = f'status {response.status_code}: {error.message}'
+    message = f'etcd status {response.status_code}: {error.message}'
     if response.is_client_error:
         raise StoreRefused(message=message)
     if error.message in _NOT_PROPOSED:
@@ -41,5 +40,5 @@
 
 
 def describe_failure(failure: Exception) -> str:
-    """Return a message for a failure of the transport or of decoding."""
+    """Return a message for a transport or decoding error."""
     return f'{type(failure).__name__}: {failure}'
--- a/src/marjoramwharf/links/_etcd_watch.py
+++ b/src/marjoramwharf/links/_etcd_watch.py
@@ -1,4 +1,4 @@
-"""One watch of a prefix over any number of connections."""
+"""A watch of a prefix in etcd that survives lost connections."""
 
 from __future__ import annotations
 
@@ -22,19 +22,23 @@
 from marjoramwharf.links.store import PrefixSnapshot, StoreEvent, WatchBatch
 from marjoramwharf.logs import part_logger
 
-# A watch that is silent for this long is opened anew, since a half-open
-# connection can't be told from a quiet prefix. One read per watch in 30 s is
-# 6 reads/s for the 180 watches of the two-year target.
+# A watch without any message for this long is reopened, since a half-open
+# connection looks like a prefix without changes. One read per watch in 30 s
+# makes 6 reads/s for the 180 watches of the two-year target.
 WATCH_SILENCE_S = 30
 
-_FIRST_WAIT_S = 0.1
-_LIMIT_WAIT_S = 5
+_INITIAL_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 5
 
 _log = part_logger('store')
 
 
 class EtcdWatch:
-    """Follows a prefix from a revision; the reader calls ``connection``."""
+    """Streams the changes below a prefix after a revision.
+
+    The reader calls ``connection`` and ``wait`` in turn, once for each
+    connection; the watch remembers the revision between them.
+    """
 
     def __init__(
         self,
@@ -45,30 +49,33 @@
         revision: int,
         rng: random.Random,
     ) -> None:
-        """Start after a revision; ``read_prefix`` is for compactions."""
+        """Start after a revision.
+
+        ``read_prefix`` reads all keys when that revision was compacted.
+        """
         self._client = client
         self._read_prefix = read_prefix
         self._prefix = prefix
         self._revision = revision
         self._backoff = Backoff(
-            initial_s=_FIRST_WAIT_S,
-            max_s=_LIMIT_WAIT_S,
+            initial_s=_INITIAL_BACKOFF_S,
+            max_s=_MAX_BACKOFF_S,
             rng=rng,
         )
 
     async def connection(self) -> AsyncGenerator[WatchBatch, None]:
-        """Yield the changes of one connection until it ends."""
+        """Open a connection and yield its changes until it ends."""
         try:
-            async with self._opened() as response:
+            async with self._open() as response:
                 async for batch in self._batches(response):
                     yield batch
         except (StoreUnavailable, StoreAnswerLost) as failure:
-            self._log_cut(failure.message)
-        except (httpx.HTTPError, ValueError) as unreadable:
-            self._log_cut(describe_failure(unreadable))
+            self._log_disconnect(failure.message)
+        except (httpx.HTTPError, ValueError) as error:
+            self._log_disconnect(describe_failure(error))
 
     async def wait(self) -> None:
-        """Wait before the next connection."""
+        """Back off before the next connection."""
         await trio.sleep(self._backoff.next_wait_s())
 
     async def _batches(
@@ -77,10 +84,10 @@
     ) -> AsyncGenerator[WatchBatch, None]:
         await check_status(response)
         async for line in response.aiter_lines():
-            for batch in await self._accept(line):
+            for batch in await self._decode_line(line):
                 yield batch
 
-    def _opened(self) -> AbstractAsyncContextManager[httpx.Response]:
+    def _open(self) -> AbstractAsyncContextManager[httpx.Response]:
         create = {
             **wire.encode_range(self._prefix),
             'start_revision': str(self._revision + 1),
@@ -93,18 +100,18 @@
             timeout=httpx.Timeout(timeout_s, read=WATCH_SILENCE_S),
         )
 
-    def _log_cut(self, cause: str) -> None:
-        _log.info('watch cut', prefix=self._prefix, cause=cause)
+    def _log_disconnect(self, cause: str) -> None:
+        _log.info('watch disconnected', prefix=self._prefix, cause=cause)
 
-    async def _accept(self, line: str) -> list[WatchBatch]:
+    async def _decode_line(self, line: str) -> list[WatchBatch]:
         if not line.strip():
             return []
         message = decode_json(line, wire.WatchMessage).result
         if int(message.compact_revision):
-            _log.info('watch compacted', prefix=self._prefix)
-            return [await self._reread()]
+            _log.info('watch history compacted', prefix=self._prefix)
+            return [await self._read_all()]
         if message.canceled:
-            raise StoreUnavailable(message='cancelled by the store')
+            raise StoreUnavailable(message='the store cancelled the watch')
         self._backoff.reset()
         grouped = wire.events_by_revision(message.events)
         self._revision = max(self._revision, *grouped, 0)
@@ -112,7 +119,7 @@
             WatchBatch(revision, events) for revision, events in grouped.items()
         ]
 
-    async def _reread(self) -> WatchBatch:
+    async def _read_all(self) -> WatchBatch:
         while True:
             try:
                 snapshot = await self._read_prefix()
@@ -120,9 +127,9 @@
                 await trio.sleep(self._backoff.next_wait_s())
             else:
                 self._revision = snapshot.revision
-                return _whole_prefix(snapshot)
+                return _to_batch(snapshot)
 
 
-def _whole_prefix(snapshot: PrefixSnapshot) -> WatchBatch:
+def _to_batch(snapshot: PrefixSnapshot) -> WatchBatch:
     events = tuple(StoreEvent(stored.key, stored) for stored in snapshot.found)
     return WatchBatch(snapshot.revision, events, restarted=True)
--- a/src/marjoramwharf/links/_etcd_wire.py
+++ b/src/marjoramwharf/links/_etcd_wire.py
@@ -16,7 +16,7 @@
 
 
 class Header(msgspec.Struct, frozen=True):
-    """The header of every answer."""
+    """The header of every response."""
 
     revision: str = '0'
 
@@ -31,47 +31,47 @@
 
 
 class RangeResponse(msgspec.Struct, frozen=True):
-    """Answer of ``/v3/kv/range``."""
+    """Response of ``/v3/kv/range``."""
 
     header: Header
     kvs: tuple[KeyValue, ...] = ()
 
 
 class TxnResponse(msgspec.Struct, frozen=True):
-    """Answer of ``/v3/kv/txn``."""
+    """Response of ``/v3/kv/txn``."""
 
     header: Header
     succeeded: bool = False
 
 
 class LeaseResponse(msgspec.Struct, frozen=True):
-    """Answer of ``/v3/lease/grant`` and result of a keep-alive."""
+    """Response of ``/v3/lease/grant``, and the result of a keep-alive."""
 
     lease: str = msgspec.field(default='0', name='ID')
     ttl: str = msgspec.field(default='0', name='TTL')
 
 
 class KeepAliveResponse(msgspec.Struct, frozen=True):
-    """One line of the answer of ``/v3/lease/keepalive``."""
+    """One line of the response of ``/v3/lease/keepalive``."""
 
     result: LeaseResponse
 
 
 class RevokeResponse(msgspec.Struct, frozen=True):
-    """Answer of ``/v3/lease/revoke``."""
+    """Response of ``/v3/lease/revoke``."""
 
     header: Header
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One change in a watch."""
+    """One change of a key in a watch message."""
 
     kv: KeyValue
     type: str = 'PUT'
 
 
 class WatchResult(msgspec.Struct, frozen=True):
-    """The content of one watch message."""
+    """The content of a watch message."""
 
     header: Header
     created: bool = False
@@ -81,38 +81,38 @@
 
 
 class WatchMessage(msgspec.Struct, frozen=True):
-    """One line of the answer of ``/v3/watch``."""
+    """One line of the response of ``/v3/watch``."""
 
     result: WatchResult
 
 
 class ErrorResponse(msgspec.Struct, frozen=True):
-    """A refusal; ``code`` is the status code of gRPC."""
+    """Body of an error response; ``code`` is the gRPC status code."""
 
     message: str = ''
     code: int = 0
 
 
 def encode(raw: bytes) -> str:
-    """Encode a key or a value."""
+    """Encode a key or a value as base64."""
     return base64.b64encode(raw).decode('ascii')
 
 
 def decode(text: str) -> bytes:
-    """Decode a key or a value; raises ``ValueError``."""
+    """Decode a base64 key or value; raises ``ValueError``."""
     return base64.b64decode(text, validate=True)
 
 
 def encode_range(prefix: str) -> dict[str, str]:
     """Return the fields that select all keys below a prefix."""
     raw = prefix.encode()
-    return {'key': encode(raw), 'range_end': encode(_end_of(raw))}
+    return {'key': encode(raw), 'range_end': encode(_compute_range_end(raw))}
 
 
 def encode_transaction(
     guards: Sequence[Guard], writes: Sequence[Write]
 ) -> dict[str, Any]:
-    """Return the body of a transaction."""
+    """Return the request body of a transaction."""
     return {
         'compare': [
             {
@@ -123,17 +123,17 @@
             }
             for guard in guards
         ],
-        'success': [_operation(write) for write in writes],
+        'success': [_encode_write(write) for write in writes],
     }
 
 
-def decode_stored(found: KeyValue) -> StoredValue:
-    """Return the value that a message describes."""
+def decode_stored(kv: KeyValue) -> StoredValue:
+    """Decode a key with its value and revisions."""
     return StoredValue(
-        key=decode(found.key).decode(),
-        body=decode(found.value),
-        mod_revision=int(found.mod_revision),
-        create_revision=int(found.create_revision),
+        key=decode(kv.key).decode(),
+        body=decode(kv.value),
+        mod_revision=int(kv.mod_revision),
+        create_revision=int(kv.create_revision),
     )
 
 
@@ -150,7 +150,7 @@
     return dict(sorted(grouped.items()))
 
 
-def _operation(write: Write) -> dict[str, Any]:
+def _encode_write(write: Write) -> dict[str, Any]:
     key = encode(write.key.encode())
     if write.body is None:
         return {'request_delete_range': {'key': key}}
@@ -160,10 +160,10 @@
     return {'request_put': put}
 
 
-def _end_of(prefix: bytes) -> bytes:
+def _compute_range_end(prefix: bytes) -> bytes:
     """Return the first key after all keys with a prefix.
 
-    The protocol defines an end of one zero byte as "no end".
+    In the protocol, an end of one zero byte means "no end".
     """
     trimmed = prefix.rstrip(b'\xff')
     if not trimmed:
--- a/src/marjoramwharf/links/backoff.py
+++ b/src/marjoramwharf/links/backoff.py
@@ -1,22 +1,22 @@
 """Exponential backoff with full jitter.
 
-Waits are drawn evenly from zero to a ceiling that doubles with each attempt,
-so that entries cut at the same moment don't return at the same moment.
+Each wait is uniformly random between zero and a ceiling that doubles with
+every attempt, so that entries disconnected together don't reconnect together.
 """
 
 from __future__ import annotations
 
 import random
 
-# Beyond this many doublings the ceiling has long reached its limit.
+# Bounds the power of two; the ceiling reaches its maximum much earlier.
 _MAX_DOUBLINGS = 16
 
 
 class Backoff:
-    """The waits of one retrying task.
+    """Computes the waits between the attempts of one task.
 
     >>> Backoff(
-    ...     initial_s=0.1, max_s=2, source=random.Random(1)
+    ...     initial_s=0.1, max_s=2, rng=random.Random(1)
     ... ).next_wait_s() < 0.1
     True
     """
@@ -28,7 +28,7 @@
         max_s: float,
         rng: random.Random | None = None,
     ) -> None:
-        """Start with ``initial_s`` as the ceiling, doubled up to ``max_s``."""
+        """Start with a ceiling of ``initial_s``; it doubles up to ``max_s``."""
         self._first_s = initial_s
         self._limit_s = max_s
         self._source = rng or random.Random()
@@ -41,5 +41,5 @@
         return self._source.uniform(0, ceiling_s)
 
     def reset(self) -> None:
-        """Start over after a success."""
+        """Reset the ceiling after a success."""
         self._attempt = 0
--- a/src/marjoramwharf/links/etcd.py
+++ b/src/marjoramwharf/links/etcd.py
@@ -1,11 +1,11 @@
 """Client of the key-value service over the etcd v3 JSON gateway.
 
-Each method is one HTTP call with the timeout of the settings. What a failure
-proves depends on when it happened:
+Each method is one HTTP call with the timeout of the settings. The failure it
+raises depends on when the call failed:
 
-- not connected, or refused with a client error: nothing was applied,
-  ``StoreUnavailable`` (``StoreRefused`` if the service gave the refusal);
-- a write was sent and its answer is missing, malformed or a server error:
+- No connection, or a client error in response: nothing was applied, so
+  ``StoreUnavailable`` (``StoreRefused`` for an error of the service).
+- A write was sent and its response is missing, malformed or a server error:
   ``StoreAnswerLost``. A server error such as "request timed out" doesn't
   prove that the proposal will not be applied later.
 
@@ -45,11 +45,11 @@
 
 _NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
-_Answer = TypeVar('_Answer', bound=msgspec.Struct)
+_Response = TypeVar('_Response', bound=msgspec.Struct)
 
 
 class EtcdStore:
-    """Implements the ``Store`` interface; made by ``open_store``."""
+    """Implements ``Store`` on the etcd gateway; use ``open_store``."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         timeout_s: float,
         rng: random.Random | None = None,
     ) -> None:
-        """Use a client whose base URL is that of the gateway."""
+        """Wrap an HTTP client whose base URL is that of the gateway."""
         self._client = client
         self._timeout_s = timeout_s
         self._source = rng or random.Random()
@@ -85,32 +85,32 @@
         urgency: Urgency,
     ) -> Committed | Conflict:
         """Apply all writes in one transaction if all guards hold."""
-        answer = await self._write(
+        response = await self._write(
             '/v3/kv/txn',
             wire.encode_transaction(guards, writes),
             wire.TxnResponse,
         )
-        if answer.succeeded:
-            return Committed(_number(answer.header.revision))
+        if response.succeeded:
+            return Committed(_parse_int(response.header.revision))
         return Conflict()
 
     async def grant_lease(self, ttl_s: int) -> LeaseId:
-        """Create a lease that lapses when it is not kept alive."""
-        answer = await self._write(
+        """Create a lease that expires unless it is kept alive."""
+        response = await self._write(
             '/v3/lease/grant',
             {'TTL': str(ttl_s)},
             wire.LeaseResponse,
         )
-        return LeaseId(_number(answer.lease))
+        return LeaseId(_parse_int(response.lease))
 
     async def keep_alive(self, lease: LeaseId) -> int:
-        """Extend a lease and return its time to live in seconds, 0 if gone."""
-        answer = await self._write(
+        """Extend a lease; return its seconds to live, 0 if it has expired."""
+        response = await self._write(
             '/v3/lease/keepalive',
             {'ID': str(lease)},
             wire.KeepAliveResponse,
         )
-        return _number(answer.result.ttl)
+        return _parse_int(response.result.ttl)
 
     async def revoke_lease(self, lease: LeaseId) -> None:
         """End a lease and delete the keys attached to it."""
@@ -127,12 +127,12 @@
         *,
         from_revision: int,
     ) -> AsyncGenerator[WatchBatch, None]:
-        """Follow the changes after a revision, across cuts.
+        """Stream the changes after a revision; reconnect when disconnected.
 
         After a compaction the prefix is read again and yielded as one batch
         with ``restarted`` set.
         """
-        followed = EtcdWatch(
+        watch = EtcdWatch(
             self._client,
             lambda: self._range(wire.encode_range(prefix)),
             prefix=prefix,
@@ -140,16 +140,18 @@
             rng=self._source,
         )
         while True:
-            async with aclosing(followed.connection()) as batches:
+            async with aclosing(watch.connection()) as batches:
                 async for batch in batches:
                     yield batch
-            await followed.wait()
+            await watch.wait()
 
     async def _range(self, body: dict[str, str]) -> PrefixSnapshot:
         try:
-            answer = await self._call('/v3/kv/range', body, wire.RangeResponse)
-            found = tuple(map(wire.decode_stored, answer.kvs))
-            revision = int(answer.header.revision)
+            response = await self._call(
+                '/v3/kv/range', body, wire.RangeResponse
+            )
+            found = tuple(map(wire.decode_stored, response.kvs))
+            revision = int(response.header.revision)
         except (httpx.HTTPError, trio.TooSlowError, ValueError) as failure:
             raise StoreUnavailable(
                 message=describe_failure(failure)
@@ -162,10 +164,10 @@
         self,
         path: str,
         body: dict[str, Any],
-        answer_type: type[_Answer],
-    ) -> _Answer:
+        response_type: type[_Response],
+    ) -> _Response:
         try:
-            return await self._call(path, body, answer_type)
+            return await self._call(path, body, response_type)
         except _NOT_SENT as unsent:
             raise StoreUnavailable(message=describe_failure(unsent)) from unsent
         except (httpx.HTTPError, trio.TooSlowError, ValueError) as failure:
@@ -177,38 +179,42 @@
         self,
         path: str,
         body: dict[str, Any],
-        answer_type: type[_Answer],
-    ) -> _Answer:
+        response_type: type[_Response],
+    ) -> _Response:
         with trio.fail_after(self._timeout_s):
             response = await self._client.post(
                 path,
                 content=msgspec.json.encode(body),
             )
         await check_status(response)
-        # A streaming call answers with one message per line.
+        # A streaming call responds with one message per line.
         line = response.content.strip().split(b'\n', 1)[0]
-        return decode_json(line, answer_type)
+        return decode_json(line, response_type)
 
 
 @asynccontextmanager
 async def open_store(settings: StoreSettings) -> AsyncIterator[EtcdStore]:
-    """Open a client for the lifetime of a block."""
+    """Open a client that is closed at the end of the ``async with`` block."""
     timeout_s = settings.timeout_ms / 1000
     async with httpx.AsyncClient(
         base_url=settings.url,
         headers={'Content-Type': 'application/json'},
-        # A connect that uses up half of the time fails while nothing is sent.
+        # Half of the timeout for the connect, so that a slow connect fails
+        # before anything is sent and doesn't leave an unknown outcome.
         timeout=httpx.Timeout(timeout_s, connect=timeout_s / 2),
-        # Servers close idle connections after 5 s or more. A write sent on a
-        # connection that is being closed would count as lost.
+        # Servers close idle connections after 5 s or more. A write on a
+        # connection that the server is closing would raise StoreAnswerLost.
         limits=httpx.Limits(max_connections=None, keepalive_expiry=3),
         trust_env=False,
     ) as client:
         yield EtcdStore(client, timeout_s=timeout_s)
 
 
-def _number(text: str) -> int:
-    """Return a number of the answer to a write."""
+def _parse_int(text: str) -> int:
+    """Parse a number in the response to a write.
+
+    Raises ``StoreAnswerLost``, since the write may have been applied.
+    """
     try:
         return int(text)
     except ValueError as failure:
--- a/src/marjoramwharf/links/prefix_watcher.py
+++ b/src/marjoramwharf/links/prefix_watcher.py
@@ -1,8 +1,8 @@
-"""Follows the keys below a prefix of the store.
+"""Watches the keys below a prefix of a polling store.
 
-A follower first reads the prefix, then waits for changes. When the store has
-lost the history, or after a failed call, it reads or asks again, so that a
-reader sees each key's latest value at last.
+A watcher first reads the prefix, then polls for changes. It reads the prefix
+again if the store has lost the history, and retries failed calls, so that its
+handler eventually sees the latest value of every key.
 """
 
 from __future__ import annotations
@@ -19,19 +19,20 @@
 from marjoramwharf.logs import part_logger
 
 _LOG = part_logger('store')
-_FIRST_PAUSE_S = 0.05
-_LONGEST_PAUSE_S = 0.5
+_INITIAL_BACKOFF_S = 0.05
+_MAX_BACKOFF_S = 0.5
 
 BatchHandler = Callable[[WatchBatch], Awaitable[None]]
 
 
 @dataclass(slots=True)
 class PrefixWatcher:
-    """One prefix and what is done with its changes.
+    """Passes the changes below a prefix to a handler.
 
-    ``wait_ms`` bounds the time for which a connection that went silent stays
-    unnoticed. Changes are collected for ``batch_delay_s`` before the next call,
-    where many writers would cause a call for each change.
+    ``wait_ms`` is the longest wait of a poll; it bounds the time until a dead
+    connection is noticed. ``batch_delay_s`` is the pause before the next poll,
+    during which changes accumulate. Without it, many writers would cause one
+    poll for each change.
     """
 
     store: PollingStore
@@ -42,39 +43,39 @@
     _revision: int | None = None
 
     async def run(self) -> None:
-        """Follow until cancelled."""
-        pauses = Backoff(
-            initial_s=_FIRST_PAUSE_S,
-            max_s=_LONGEST_PAUSE_S,
+        """Watch the prefix until cancelled."""
+        backoff = Backoff(
+            initial_s=_INITIAL_BACKOFF_S,
+            max_s=_MAX_BACKOFF_S,
             rng=random.Random(),
         )
-        lost = False
+        is_failing = False
         while True:
             try:
                 await self.poll_once()
             except HistoryLost:
-                _LOG.info('history lost', prefix=self.prefix)
+                _LOG.info('watch history lost', prefix=self.prefix)
                 self._revision = None
                 continue
             except Failure as failure:
-                if not lost:
+                if not is_failing:
                     _LOG.warning(
                         'watch failed',
                         prefix=self.prefix,
                         error=str(failure),
                     )
-                lost = True
-                await trio.sleep(pauses.next_wait_s())
+                is_failing = True
+                await trio.sleep(backoff.next_wait_s())
                 continue
-            if lost:
+            if is_failing:
                 _LOG.info('watch is back', prefix=self.prefix)
-            lost = False
-            pauses.reset()
+            is_failing = False
+            backoff.reset()
 
     async def poll_once(self) -> None:
-        """Make one call and apply what it returns."""
+        """Make one call and pass its changes to the handler."""
         if self._revision is None:
-            batch = await self._read()
+            batch = await self._read_all()
         else:
             batch = await self.store.poll(
                 self.prefix,
@@ -86,7 +87,7 @@
         self._revision = batch.revision
         await trio.sleep(self.batch_delay_s)
 
-    async def _read(self) -> WatchBatch:
+    async def _read_all(self) -> WatchBatch:
         snapshot = await self.store.read_prefix(self.prefix)
         events = tuple(
             StoreEvent(stored.key, stored) for stored in snapshot.found
--- a/src/marjoramwharf/links/relayed_store.py
+++ b/src/marjoramwharf/links/relayed_store.py
@@ -1,7 +1,7 @@
-"""A store that this entry reaches directly, or else through a peer.
+"""A store client that falls back to calls through a peer.
 
-The platform's store may turn some entries away while it serves the others.
-Such an entry has its calls carried out by a peer until the store answers it
+The platform's store may reject the calls of some entries while it serves the
+others. Such an entry lets a peer execute its calls until the store answers it
 again.
 """
 
@@ -48,25 +48,24 @@
 
 _LOG = part_logger('store')
 
-# While calls go through a peer, the store is asked this often whether it
-# answers again.
-_PROBE_PAUSE_S = 0.5
+# Interval of the probes that check whether an unreachable store answers again.
+_PROBE_INTERVAL_S = 0.5
 _PROBE_KEY = 'mw/probe'
 
-_Found = TypeVar('_Found')
+_Value = TypeVar('_Value')
 
 
 class Relay(Protocol):
-    """Carries calls to the store out through a peer."""
+    """Executes store calls through a peer."""
 
     @property
     def is_connected(self) -> bool:
-        """Whether a peer can be asked now."""
+        """Whether at least one peer is connected."""
 
     async def call(self, call: StoreCall) -> StoreReply:
-        """Have a call carried out; raises what the store's method raises.
+        """Let a peer execute a call; raises what the store's method raises.
 
-        Raises ``PeerUnreachable`` if no peer has acted on the call.
+        Raises ``PeerUnreachable`` if no peer received the call.
         """
 
 
@@ -74,8 +73,9 @@
 class RelayedStore:
     """Implements ``PollingStore`` over a direct store and a relay.
 
-    ``reachability`` tells whether the store answers this entry, and ``relay_reachability``
-    whether it answers the peers that are asked. Several stores may share them.
+    ``reachability`` tells whether the store answers this entry, and
+    ``relay_reachability`` whether it answers the peers that relay calls.
+    Several stores may share them.
     """
 
     direct: PollingStore
@@ -87,17 +87,17 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Whether a call is likely to be carried out."""
-        return not self.reachability.is_unreachable or self._may_relay()
+        """Whether a call is likely to be executed, directly or by a peer."""
+        return not self.reachability.is_unreachable or self._can_relay()
 
     async def read(self, key: str) -> StoredValue | None:
         """Return the value of a key, or ``None`` if it does not exist."""
-        return (await self._run(ReadCall(key))).stored
+        return (await self._execute(ReadCall(key))).stored
 
     async def read_prefix(self, prefix: str) -> PrefixSnapshot:
         """Return all keys below a prefix, with the revision to watch from."""
-        reply = await self._run(ReadPrefixCall(prefix))
-        return _present(reply.snapshot)
+        reply = await self._execute(ReadPrefixCall(prefix))
+        return _require(reply.snapshot)
 
     async def commit(
         self,
@@ -105,22 +105,22 @@
         writes: Sequence[Write],
     ) -> Committed | Conflict:
         """Apply all writes in one call if all guards hold."""
-        reply = await self._run(CommitCall(tuple(guards), tuple(writes)))
+        reply = await self._execute(CommitCall(tuple(guards), tuple(writes)))
         if reply.committed is not None:
             return reply.committed
-        return _present(reply.conflict)
+        return _require(reply.conflict)
 
     async def grant_lease(self, ttl_ms: int) -> LeaseId:
-        """Create a lease that lapses when it is not kept alive."""
-        return _present((await self._run(GrantCall(ttl_ms))).lease)
+        """Create a lease that expires unless it is kept alive."""
+        return _require((await self._execute(GrantCall(ttl_ms))).lease)
 
     async def keep_alive(self, lease: LeaseId) -> bool:
-        """Extend a lease; tell whether it still exists."""
-        return (await self._run(KeepAliveCall(lease))).exists
+        """Extend a lease; return whether it still exists."""
+        return (await self._execute(KeepAliveCall(lease))).exists
 
     async def revoke_lease(self, lease: LeaseId) -> None:
         """End a lease and delete the keys attached to it."""
-        await self._run(RevokeCall(lease))
+        await self._execute(RevokeCall(lease))
 
     async def poll(
         self,
@@ -129,41 +129,44 @@
         after_revision: int,
         wait_ms: int,
     ) -> WatchBatch:
-        """Return the changes after a revision, empty when the wait is over."""
+        """Wait for changes after a revision; the batch is empty on a timeout."""
         call = PollCall(prefix, after_revision, wait_ms)
-        return _present((await self._run(call)).batch)
+        return _require((await self._execute(call)).batch)
 
     async def run_probe(self) -> None:
-        """Ask the store now and then while it is away, until cancelled."""
+        """Probe the store while it is unreachable, until cancelled.
+
+        A successful probe marks it as reachable, so calls go there again.
+        """
         while True:
-            await trio.sleep(_PROBE_PAUSE_S)
+            await trio.sleep(_PROBE_INTERVAL_S)
             if self.reachability.is_unreachable:
                 try:
-                    await self._run_direct(ReadCall(_PROBE_KEY))
+                    await self._execute_directly(ReadCall(_PROBE_KEY))
                 except Failure as failure:
-                    _LOG.debug('still away', error=str(failure))
+                    _LOG.debug('store still unreachable', error=str(failure))
                 else:
-                    _LOG.info('store answers again')
+                    _LOG.info('store reachable again')
 
-    async def _run(self, call: StoreCall) -> StoreReply:
-        if self.reachability.is_unreachable and self._may_relay():
-            return await self._run_relayed(call)
+    async def _execute(self, call: StoreCall) -> StoreReply:
+        if self.reachability.is_unreachable and self._can_relay():
+            return await self._execute_through_peer(call)
         try:
-            return await self._run_direct(call)
+            return await self._execute_directly(call)
         except StoreUnavailable:
-            # Nothing was done, so the call may go another way at once.
-            if self.reachability.is_unreachable and self._may_relay():
-                return await self._run_relayed(call)
+            # Nothing was applied, so the call may be relayed at once.
+            if self.reachability.is_unreachable and self._can_relay():
+                return await self._execute_through_peer(call)
             raise
 
-    def _may_relay(self) -> bool:
+    def _can_relay(self) -> bool:
         return (
             self.relay.is_connected
             and not self.relay_reachability.is_unreachable
         )
 
-    async def _run_direct(self, call: StoreCall) -> StoreReply:
-        was_away = self.reachability.is_unreachable
+    async def _execute_directly(self, call: StoreCall) -> StoreReply:
+        was_unreachable = self.reachability.is_unreachable
         try:
             reply = await execute_call(self.direct, call)
         except StoreRefused:
@@ -171,8 +174,8 @@
             raise
         except (StoreUnavailable, StoreAnswerLost) as failure:
             self.reachability.record_failure(now_s=trio.current_time())
-            if self.reachability.is_unreachable and not was_away:
-                _LOG.warning('store away', error=str(failure))
+            if self.reachability.is_unreachable and not was_unreachable:
+                _LOG.warning('store unreachable', error=str(failure))
             raise
         except Failure:
             self.reachability.record_answer(now_s=trio.current_time())
@@ -180,7 +183,7 @@
         self.reachability.record_answer(now_s=trio.current_time())
         return reply
 
-    async def _run_relayed(self, call: StoreCall) -> StoreReply:
+    async def _execute_through_peer(self, call: StoreCall) -> StoreReply:
         try:
             reply = await self.relay.call(call)
         except PeerUnreachable as failure:
@@ -193,8 +196,8 @@
         return reply
 
 
-def _present(found: _Found | None) -> _Found:
-    """Return what a reply must hold; raises ``StoreAnswerLost``."""
-    if found is None:
-        raise StoreAnswerLost(message='the reply does not fit the call')
-    return found
+def _require(returned: _Value | None) -> _Value:
+    """Return a field that the reply must have; raises ``StoreAnswerLost``."""
+    if returned is None:
+        raise StoreAnswerLost(message='the reply lacks the result of the call')
+    return returned
--- a/src/marjoramwharf/links/resilient_store.py
+++ b/src/marjoramwharf/links/resilient_store.py
@@ -1,13 +1,13 @@
-"""A store client with a budget, a health state and retried reads.
+"""A store client with rate limits, health tracking and retried reads.
 
-``ResilientStore`` wraps any ``Store``. Reads are repeated with jittered backoff;
-writes are never repeated by it. :mod:`links.store_settlement` finds out what
-became of a commit whose answer was lost.
+``ResilientStore`` wraps any ``Store``. It retries reads with jittered backoff
+but never writes. :mod:`links.store_settlement` finds out whether a commit was
+applied if its answer was lost.
 
 Example:
-    guarded = ResilientStore(store, settings)
-    if guarded.health is not StoreHealth.DOWN:
-        found = await guarded.read('/note/head', urgency=Urgency.STATUS)
+    resilient = ResilientStore(store, settings)
+    if resilient.health is not StoreHealth.DOWN:
+        found = await resilient.read('/note/head', urgency=Urgency.STATUS)
 """
 
 from __future__ import annotations
@@ -43,17 +43,17 @@
 from marjoramwharf.links.store_health import HealthTracker, StoreHealth
 from marjoramwharf.settings import StoreSettings
 
-# A read is tried this often while the store is up, once while it is down.
+# Attempts of a read. While the store is down, a read is not retried.
 _READ_ATTEMPTS = 3
-_FIRST_WAIT_S = 0.02
-_LIMIT_WAIT_S = 0.5
+_INITIAL_BACKOFF_S = 0.02
+_MAX_BACKOFF_S = 0.5
 
 _Outcome = TypeVar('_Outcome')
 
 
 @dataclass(slots=True)
 class StoreCounters:
-    """Calls since the start, for metrics."""
+    """Counts of calls since the start, and of open watches, for metrics."""
 
     reads_count: int = 0
     writes_count: int = 0
@@ -65,10 +65,10 @@
 
 
 class ResilientStore:
-    """Implements the ``Store`` interface over another store.
+    """Adds rate limits, retries and health tracking to another ``Store``.
 
     Besides the failures of the interface, a call may raise
-    ``StoreBudgetSpent``; nothing was sent then.
+    ``StoreBudgetSpent``, in which case nothing was sent.
     """
 
     def __init__(
@@ -79,18 +79,20 @@
         clock: Callable[[], float] = trio.current_time,
         rng: random.Random | None = None,
     ) -> None:
-        """Wrap a store; ``clock`` gives monotonic seconds."""
+        """Wrap a store; ``clock`` returns monotonic seconds."""
         self.counters = StoreCounters()
         self._store = store
         self._clock = clock
         self._source = rng or random.Random()
         self._budget = StoreBudget(settings, now_s=clock())
-        self._tracker = HealthTracker(timeout_s=settings.timeout_ms / 1000)
+        self._health_tracker = HealthTracker(
+            timeout_s=settings.timeout_ms / 1000
+        )
 
     @property
     def health(self) -> StoreHealth:
-        """The state of the store as seen by the calls so far."""
-        return self._tracker.health
+        """The health of the store according to the calls so far."""
+        return self._health_tracker.health
 
     async def read(self, key: str, *, urgency: Urgency) -> StoredValue | None:
         """Return the value of a key, or ``None`` if it does not exist."""
@@ -125,14 +127,14 @@
         )
 
     async def grant_lease(self, ttl_s: int) -> LeaseId:
-        """Create a lease that lapses when it is not kept alive."""
+        """Create a lease that expires unless it is kept alive."""
         return await self._write(
             Urgency.OWNERSHIP,
             lambda: self._store.grant_lease(ttl_s),
         )
 
     async def keep_alive(self, lease: LeaseId) -> int:
-        """Extend a lease and return its time to live in seconds, 0 if gone."""
+        """Extend a lease; return its seconds to live, 0 if it has expired."""
         return await self._write(
             Urgency.OWNERSHIP,
             lambda: self._store.keep_alive(lease),
@@ -152,17 +154,17 @@
         *,
         from_revision: int,
     ) -> AsyncIterator[AsyncIterator[WatchBatch]]:
-        """Follow the changes below a prefix, across cuts."""
+        """Stream the changes below a prefix; reconnect after lost connections."""
         with ExitStack() as stack:
-            self._count_watch(1)
-            stack.callback(self._count_watch, -1)
+            self._change_watches_count(1)
+            stack.callback(self._change_watches_count, -1)
             async with self._store.watch(
                 prefix,
                 from_revision=from_revision,
             ) as batches:
                 yield batches
 
-    def _count_watch(self, change: int) -> None:
+    def _change_watches_count(self, change: int) -> None:
         self.counters.watches_count += change
         if change > 0:
             self._budget.add_watch(self._clock())
@@ -175,13 +177,13 @@
         call: Callable[[], Awaitable[_Outcome]],
     ) -> _Outcome:
         backoff = Backoff(
-            initial_s=_FIRST_WAIT_S,
-            max_s=_LIMIT_WAIT_S,
+            initial_s=_INITIAL_BACKOFF_S,
+            max_s=_MAX_BACKOFF_S,
             rng=self._source,
         )
         for _ in range(_READ_ATTEMPTS - 1):
             try:
-                return await self._read_once(urgency, call)
+                return await self._attempt_read(urgency, call)
             except StoreRefused:
                 raise
             except StoreUnavailable:
@@ -189,55 +191,55 @@
                     raise
             self.counters.retries_count += 1
             await trio.sleep(backoff.next_wait_s())
-        return await self._read_once(urgency, call)
+        return await self._attempt_read(urgency, call)
 
-    async def _read_once(
+    async def _attempt_read(
         self,
         urgency: Urgency,
         call: Callable[[], Awaitable[_Outcome]],
     ) -> _Outcome:
-        self._spend(self._budget.admit_read, urgency)
+        self._admit(self._budget.admit_read, urgency)
         self.counters.reads_count += 1
-        return await self._judged(call)
+        return await self._call_and_record(call)
 
     async def _write(
         self,
         urgency: Urgency,
         call: Callable[[], Awaitable[_Outcome]],
     ) -> _Outcome:
-        self._spend(self._budget.admit_write, urgency)
+        self._admit(self._budget.admit_write, urgency)
         self.counters.writes_count += 1
-        return await self._judged(call)
+        return await self._call_and_record(call)
 
-    def _spend(
+    def _admit(
         self,
-        spend: Callable[[Urgency, float], None],
+        admit: Callable[[Urgency, float], None],
         urgency: Urgency,
     ) -> None:
         try:
-            spend(urgency, self._clock())
+            admit(urgency, self._clock())
         except StoreBudgetSpent:
             self.counters.shed_count += 1
             raise
 
-    async def _judged(
+    async def _call_and_record(
         self,
         call: Callable[[], Awaitable[_Outcome]],
     ) -> _Outcome:
-        """Make a call and let the health follow its outcome."""
+        """Make a call and update the health and the counters."""
         started_s = self._clock()
         try:
             outcome = await call()
         except StoreRefused:
-            self._tracker.record_answer(self._clock() - started_s)
+            self._health_tracker.record_answer(self._clock() - started_s)
             raise
         except StoreUnavailable:
             self.counters.failed_count += 1
-            self._tracker.record_failure()
+            self._health_tracker.record_failure()
             raise
         except StoreAnswerLost:
             self.counters.lost_count += 1
-            self._tracker.record_failure()
+            self._health_tracker.record_failure()
             raise
-        self._tracker.record_answer(self._clock() - started_s)
+        self._health_tracker.record_answer(self._clock() - started_s)
         return outcome
--- a/src/marjoramwharf/links/store.py
+++ b/src/marjoramwharf/links/store.py
@@ -1,8 +1,8 @@
-"""The narrow interface to the platform's key-value service.
+"""Interface of the platform's key-value store and the values it exchanges.
 
 The rest of the scheduler uses only this module's types. The client that
 speaks the published protocol of the service is in :mod:`links.etcd`, so that
-another service can take its place without a change elsewhere.
+another service can replace it without a change elsewhere.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
 class Conflict:
     """A guard did not hold; nothing was applied.
 
-    ``found`` are the guarded keys that exist, where the store tells them.
+    ``found`` has the guarded keys that exist, if the store returns them.
     """
 
     found: tuple[StoredValue, ...] = ()
@@ -86,8 +86,9 @@
 class WatchBatch:
     """The changes of one revision, in order.
 
-    ``restarted`` is true when revisions may have been skipped (compaction or
-    a long cut); the reader then takes the events as the whole prefix.
+    ``restarted`` is true if revisions may have been skipped, after a
+    compaction or a long disconnection. The events are then all keys below
+    the prefix and replace the reader's state.
     """
 
     revision: int
@@ -104,10 +105,10 @@
 
 
 class Store(Protocol):
-    """What the scheduler needs of the platform's key-value service.
+    """The operations of the key-value store that the scheduler uses.
 
-    Every method raises ``StoreUnavailable`` when nothing was applied, and a
-    writing method raises ``StoreAnswerLost`` when that is not known.
+    Every method raises ``StoreUnavailable`` if nothing was applied. A writing
+    method raises ``StoreAnswerLost`` if the write may have been applied.
     """
 
     async def read(self, key: str, *, urgency: Urgency) -> StoredValue | None:
@@ -131,10 +132,10 @@
         """Apply all writes in one call if all guards hold."""
 
     async def grant_lease(self, ttl_s: int) -> LeaseId:
-        """Create a lease that lapses when it is not kept alive."""
+        """Create a lease that expires unless it is kept alive."""
 
     async def keep_alive(self, lease: LeaseId) -> int:
-        """Extend a lease and return its time to live in seconds, 0 if gone."""
+        """Extend a lease; return its seconds to live, 0 if it has expired."""
 
     async def revoke_lease(self, lease: LeaseId) -> None:
         """End a lease and delete the keys attached to it."""
@@ -145,13 +146,13 @@
         *,
         from_revision: int,
     ) -> AbstractAsyncContextManager[AsyncIterator[WatchBatch]]:
-        """Follow the changes below a prefix, across cuts of the connection."""
+        """Stream the changes below a prefix; reconnect after lost connections."""
 
 
 class PollingStore(Protocol):
-    """A store whose changes are read by waiting calls.
+    """A store whose changes are read by long polling.
 
-    The methods raise the failures of :class:`Store`.
+    The methods raise the same failures as those of :class:`Store`.
     """
 
     async def read(self, key: str) -> StoredValue | None:
@@ -168,10 +169,10 @@
         """Apply all writes in one call if all guards hold."""
 
     async def grant_lease(self, ttl_ms: int) -> LeaseId:
-        """Create a lease that lapses when it is not kept alive."""
+        """Create a lease that expires unless it is kept alive."""
 
     async def keep_alive(self, lease: LeaseId) -> bool:
-        """Extend a lease; tell whether it still exists."""
+        """Extend a lease; return whether it still exists."""
 
     async def revoke_lease(self, lease: LeaseId) -> None:
         """End a lease and delete the keys attached to it."""
@@ -183,7 +184,7 @@
         after_revision: int,
         wait_ms: int,
     ) -> WatchBatch:
-        """Return the changes after a revision, empty when the wait is over.
+        """Wait for changes after a revision; the batch is empty on a timeout.
 
-        Raises ``HistoryLost`` when the store no longer has that history.
+        Raises ``HistoryLost`` if the store no longer has that history.
         """
--- a/src/marjoramwharf/links/store_budget.py
+++ b/src/marjoramwharf/links/store_budget.py
@@ -1,10 +1,9 @@
-"""Rates of store calls, with the least urgent class shed first.
+"""Rate limits for store calls; the least urgent class is shed first.
 
-Reads and writes have a token bucket each. A class may only spend the tokens
-above its reserve, so that under overload the level of the bucket settles
-where the more urgent classes still find tokens. Ownership and membership
-calls are never shed: they take the bucket below zero, and the other classes
-wait until it has been paid back.
+Reads and writes have one token bucket each. A class may only take tokens
+above the level reserved for the more urgent classes, so that these still find
+tokens under overload. Ownership and membership calls are never shed: they may
+take the bucket below zero, and the other classes wait until it has refilled.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 from marjoramwharf.links.store import Urgency
 from marjoramwharf.settings import StoreSettings
 
-# The part of a full bucket that a class leaves for the more urgent ones.
+# Share of a full bucket that a class must leave for the more urgent ones.
 _RESERVED_SHARE = {
     Urgency.STATUS: 0.6,
     Urgency.SNAPSHOT: 0.4,
@@ -21,17 +20,17 @@
     Urgency.JOB: 0,
 }
 
-# A bucket holds one second of its rate, but at least this many calls, so that
-# every class can spend at all where the rate is a few calls per second.
+# A bucket holds the tokens of one second, but at least this many. With fewer,
+# the reserves would block some classes at a rate of a few calls per second.
 _MIN_BURST_COUNT = 8
 
-# Waiting watches never take more than this share of the rate of reads, since
-# recovery needs reads too.
+# Upper bound of the share of the read rate that open watches take. The rest
+# stays for recovery, which needs reads too.
 _MAX_WATCH_SHARE = 0.9
 
 
 class TokenBucket:
-    """Calls that may still be made; the times are in seconds."""
+    """Limits the rate of calls; a token permits one call."""
 
     def __init__(self, *, rate_per_s: float, now_s: float) -> None:
         """Start with a full bucket."""
@@ -41,14 +40,14 @@
         self._filled_at_s = now_s
 
     def admit(self, urgency: Urgency, now_s: float) -> bool:
-        """Take a token for a call, or refuse it."""
+        """Take a token for a call; return false if the call must be shed."""
         if self.compute_wait_s(urgency, now_s) > 0:
             return False
         self._tokens -= 1
         return True
 
     def compute_wait_s(self, urgency: Urgency, now_s: float) -> float:
-        """Return how long a call of this class would have to wait."""
+        """Return the seconds until a call of this class would be admitted."""
         self._fill(now_s)
         if urgency is Urgency.OWNERSHIP:
             return 0
@@ -56,24 +55,24 @@
         return max(needed - self._tokens, 0) / self._rate_per_s
 
     def set_rate(self, rate_per_s: float, now_s: float) -> None:
-        """Fill at another rate from now on."""
+        """Change the refill rate from now on."""
         self._fill(now_s)
         self._rate_per_s = rate_per_s
 
     def _fill(self, now_s: float) -> None:
-        passed_s = max(now_s - self._filled_at_s, 0)
+        elapsed_s = max(now_s - self._filled_at_s, 0)
         self._filled_at_s = max(now_s, self._filled_at_s)
         self._tokens = min(
             self._burst,
-            self._tokens + passed_s * self._rate_per_s,
+            self._tokens + elapsed_s * self._rate_per_s,
         )
 
 
 class StoreBudget:
-    """This entry's share of the store's rates.
+    """Keeps this entry's store calls within its share of the store's rates.
 
-    The store counts a waiting watch as one of its reads per second, so each
-    watch lowers the rate of the other reads by one.
+    The store counts an open watch as one read per second, so each watch
+    lowers the rate of the other reads by one per second.
     """
 
     def __init__(self, settings: StoreSettings, *, now_s: float) -> None:
@@ -90,33 +89,33 @@
         self._watches_count = 0
 
     def admit_read(self, urgency: Urgency, now_s: float) -> None:
-        """Admit a read, or raise ``StoreBudgetSpent`` with the wait."""
-        _spend(self._reads, urgency, now_s)
+        """Admit a read; raises ``StoreBudgetSpent`` with the wait."""
+        _admit(self._reads, urgency, now_s)
 
     def admit_write(self, urgency: Urgency, now_s: float) -> None:
-        """Admit a write, or raise ``StoreBudgetSpent`` with the wait."""
-        _spend(self._writes, urgency, now_s)
+        """Admit a write; raises ``StoreBudgetSpent`` with the wait."""
+        _admit(self._writes, urgency, now_s)
 
     def add_watch(self, now_s: float) -> None:
-        """Count one more waiting watch."""
-        self._count_watches(1, now_s)
+        """Take one read per second out of the budget for an open watch."""
+        self._change_watches_count(1, now_s)
 
     def remove_watch(self, now_s: float) -> None:
-        """Count one waiting watch less."""
-        self._count_watches(-1, now_s)
+        """Give the read rate of a closed watch back to the other reads."""
+        self._change_watches_count(-1, now_s)
 
-    def _count_watches(self, change: int, now_s: float) -> None:
+    def _change_watches_count(self, change: int, now_s: float) -> None:
         self._watches_count += change
-        taken_per_s = min(
+        watched_per_s = min(
             self._watches_count,
             self._reads_per_s * _MAX_WATCH_SHARE,
         )
-        self._reads.set_rate(self._reads_per_s - taken_per_s, now_s)
+        self._reads.set_rate(self._reads_per_s - watched_per_s, now_s)
 
 
-def _spend(bucket: TokenBucket, urgency: Urgency, now_s: float) -> None:
+def _admit(bucket: TokenBucket, urgency: Urgency, now_s: float) -> None:
     if not bucket.admit(urgency, now_s):
         raise StoreBudgetSpent(
-            message=f'the rate is spent for calls of class {urgency.name}',
+            message=f'store rate limit reached for {urgency.name} calls',
             retry_after_s=bucket.compute_wait_s(urgency, now_s),
         )
--- a/src/marjoramwharf/links/store_calls.py
+++ b/src/marjoramwharf/links/store_calls.py
@@ -1,4 +1,4 @@
-"""The calls of ``PollingStore`` as values, so that a peer can carry them out."""
+"""The calls of ``PollingStore`` as messages that a peer can execute."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 
 
 class StoreReply(Struct, frozen=True, array_like=True):
-    """What a call returned; the field that fits the call is set."""
+    """Result of a call; only the field of the called method is set."""
 
     stored: StoredValue | None = None
     snapshot: PrefixSnapshot | None = None
@@ -100,7 +100,7 @@
 
 @enum.unique
 class CallOutcome(enum.IntEnum):
-    """How a call that a peer carried out ended; the values travel."""
+    """Outcome of a call that a peer executed; the values are sent."""
 
     DONE = 200
     LEASE_ENDED = 404
@@ -121,7 +121,7 @@
 
 
 async def execute_call(store: PollingStore, call: StoreCall) -> StoreReply:
-    """Carry a call out; raises what the method of the store raises."""
+    """Make a call on a store; raises what the store's method raises."""
     match call:
         case CommitCall(guards, writes):
             return await _commit(store, guards, writes)
@@ -133,7 +133,7 @@
             )
             return StoreReply(batch=batch)
         case GrantCall() | KeepAliveCall() | RevokeCall():
-            return await _perform_on_lease(store, call)
+            return await _execute_lease_call(store, call)
         case ReadCall(key):
             return StoreReply(stored=await store.read(key))
         case ReadPrefixCall(prefix):
@@ -151,7 +151,7 @@
     return StoreReply(conflict=outcome)
 
 
-async def _perform_on_lease(
+async def _execute_lease_call(
     store: PollingStore,
     call: GrantCall | KeepAliveCall | RevokeCall,
 ) -> StoreReply:
@@ -166,39 +166,45 @@
 
 
 def encode_call(call: StoreCall) -> bytes:
-    """Return a call as bytes."""
+    """Encode a call for a peer."""
     return msgpack.encode(call)
 
 
 def decode_call(raw: bytes) -> StoreCall:
-    """Return the call of a peer; raises ``BadFrame``."""
+    """Decode the call of a peer; raises ``BadFrame``."""
     try:
         return msgpack.decode(raw, type=StoreCall)
     except DecodeError as failure:
-        raise BadFrame(message=f'store call: {failure}') from failure
+        raise BadFrame(message=f'malformed store call: {failure}') from failure
 
 
 def encode_reply(reply: StoreReply) -> bytes:
-    """Return what a call returned as bytes."""
+    """Encode the result of a call for a peer."""
     return msgpack.encode(reply)
 
 
 def decode_reply(raw: bytes) -> StoreReply:
-    """Return what a peer's call returned; raises ``BadFrame``."""
+    """Decode the result of a call from a peer; raises ``BadFrame``."""
     try:
         return msgpack.decode(raw, type=StoreReply)
     except DecodeError as failure:
-        raise BadFrame(message=f'store reply: {failure}') from failure
+        raise BadFrame(message=f'malformed store reply: {failure}') from failure
 
 
 def get_outcome(failure: Failure) -> CallOutcome:
-    """Return the outcome that tells a peer of a failure."""
+    """Return the outcome code that reports a failure to a peer.
+
+    A failure without a code is reported as a lost answer.
+    """
     return _OUTCOMES.get(type(failure), CallOutcome.ANSWER_LOST)
 
 
 def make_failure(outcome: int, text: str) -> Failure:
-    """Return the failure that a peer's outcome stands for."""
-    known = {known.value for known in CallOutcome}
-    if outcome not in known:
-        return StoreAnswerLost(message=f'outcome {outcome}: {text}')
+    """Return the failure of an outcome code that a peer sent.
+
+    An unknown code counts as a lost answer.
+    """
+    codes = {member.value for member in CallOutcome}
+    if outcome not in codes:
+        return StoreAnswerLost(message=f'unknown outcome {outcome}: {text}')
     return _FAILURES[CallOutcome(outcome)](message=text)
--- a/src/marjoramwharf/links/store_reachability.py
+++ b/src/marjoramwharf/links/store_reachability.py
@@ -1,10 +1,10 @@
-"""Whether the store answers this entry, judged from the calls it makes.
+"""Detects from this entry's calls whether it can reach the store.
 
->>> reach = StoreReachability()
->>> reach.answered(now_s=1)
->>> reach.failed(now_s=2)
->>> reach.failed(now_s=2.1)
->>> reach.is_unreachable
+>>> reachability = StoreReachability()
+>>> reachability.record_answer(now_s=1)
+>>> reachability.record_failure(now_s=2)
+>>> reachability.record_failure(now_s=2.1)
+>>> reachability.is_unreachable
 True
 """
 
@@ -12,32 +12,36 @@
 
 from dataclasses import dataclass
 
-# One failed call may be the fault of its connection.
-_FAILURES_UNTIL_AWAY = 2
+# A single failure may be due to its connection rather than to the store.
+_FAILURES_UNTIL_UNREACHABLE = 2
 
-# Failures that follow an answer this closely are a burst of lost answers.
-_SILENCE_UNTIL_AWAY_S = 0.3
+# Failures sooner after an answer than this are taken for a burst of lost
+# answers, not for an unreachable store.
+_SILENCE_UNTIL_UNREACHABLE_S = 0.3
 
 
 @dataclass(slots=True)
 class StoreReachability:
-    """Counts failures since the latest answer; any answer ends the absence."""
+    """Counts failures since the latest answer.
+
+    The store is reachable again from the first answer on.
+    """
 
     is_unreachable: bool = False
     _failures_count: int = 0
-    _answered_s: float = 0
+    _latest_answer_s: float = 0
 
     def record_answer(self, *, now_s: float) -> None:
-        """Note a call that the store carried out or refused by its content."""
-        self._answered_s = now_s
+        """Record a call that the store executed, or refused as invalid."""
+        self._latest_answer_s = now_s
         self._failures_count = 0
         self.is_unreachable = False
 
     def record_failure(self, *, now_s: float) -> None:
-        """Note a call that was turned away or got no answer."""
+        """Record a call that the store rejected unread or did not answer."""
         self._failures_count += 1
-        silence_s = now_s - self._answered_s
+        silence_s = now_s - self._latest_answer_s
         self.is_unreachable = (
-            self._failures_count >= _FAILURES_UNTIL_AWAY
-            and silence_s >= _SILENCE_UNTIL_AWAY_S
+            self._failures_count >= _FAILURES_UNTIL_UNREACHABLE
+            and silence_s >= _SILENCE_UNTIL_UNREACHABLE_S
         )
--- a/src/marjoramwharf/links/store_relay.py
+++ b/src/marjoramwharf/links/store_relay.py
@@ -1,4 +1,4 @@
-"""Calls to the store through peers, and their service for peers."""
+"""Relays store calls through peers, and executes those of peers."""
 
 from __future__ import annotations
 
@@ -40,23 +40,23 @@
 
 STORE_METHOD = 'store'
 
-# Peers that are connected while the store is away.
-_PEERS_COUNT = 2
+# Number of peers to connect to while the store is unreachable.
+_MAX_PEERS_COUNT = 2
 
-# Connections are kept for so long after the store answered again, and another
-# peer is chosen for one that could not be reached within this time.
-_KEPT_S = 5.0
-_REACHED_WITHIN_S = 0.7
-_CHECK_PAUSE_S = 0.1
+# Connections stay open this long after the store became reachable again. A
+# peer that is not connected within the connect timeout is replaced by another.
+_KEEP_OPEN_S = 5.0
+_CONNECT_TIMEOUT_S = 0.7
+_CHECK_INTERVAL_S = 0.1
 
-# Longer than a peer waits for the store itself.
+# Longer than a peer's own timeout for a call to the store.
 _CALL_TIMEOUT_S = 0.9
 _MS_PER_S = 1_000
 
 
 @dataclass(frozen=True, slots=True)
 class PeerAddress:
-    """Where a peer takes messages, and the secret that opens it."""
+    """Address of a peer's message port, with the secret that it requires."""
 
     entry_id: str
     host: str
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Link:
+class _PeerConnection:
     client: PeerClient
     opened_s: float
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
@@ -80,76 +80,83 @@
 
 @dataclass(slots=True)
 class StoreRelay:
-    """Keeps connections to a few peers while the store is away.
+    """Keeps connections to a few peers while the store is unreachable.
 
-    Implements ``relayed_store.Relay``. ``reachability`` tells whether the store
-    answers this entry itself.
+    Implements ``relayed_store.Relay``. ``reachability`` tells whether this
+    entry reaches the store itself.
     """
 
     peers: PeerSource
     identity: PeerIdentity
     reachability: StoreReachability
     rng: random.Random = field(default_factory=random.Random)
-    _links: dict[PeerAddress, _Link] = field(default_factory=dict)
-    _away_s: float = 0
+    _connections: dict[PeerAddress, _PeerConnection] = field(
+        default_factory=dict
+    )
+    _last_unreachable_s: float = 0
 
     @property
     def is_connected(self) -> bool:
-        """Whether a peer can be asked now."""
-        return any(link.client.peer for link in self._links.values())
+        """Whether at least one peer is connected."""
+        return any(
+            connection.client.peer for connection in self._connections.values()
+        )
 
     async def run(self) -> None:
-        """Connect to peers whenever the store is away, until cancelled."""
+        """Connect to peers whenever the store is unreachable; never returns."""
         async with trio.open_nursery() as nursery:
             while True:
-                await trio.sleep(_CHECK_PAUSE_S)
+                await trio.sleep(_CHECK_INTERVAL_S)
                 now_s = trio.current_time()
                 if self.reachability.is_unreachable:
-                    self._away_s = now_s
-                    self._replace_unreached(now_s)
+                    self._last_unreachable_s = now_s
+                    self._close_unconnected(now_s)
                     self._connect(nursery, now_s)
-                elif self._links and now_s - self._away_s > _KEPT_S:
-                    self._close(tuple(self._links))
+                elif (
+                    self._connections
+                    and now_s - self._last_unreachable_s > _KEEP_OPEN_S
+                ):
+                    self._close(tuple(self._connections))
 
     async def call(self, call: StoreCall) -> StoreReply:
-        """Have a call carried out by the first peer that takes it.
+        """Let the first connected peer execute a call.
 
-        Raises ``PeerUnreachable`` if no peer has acted on it, else what the
-        store's method raises.
+        Raises ``PeerUnreachable`` if no peer is connected, so that nothing
+        was sent, else what the store's method raises.
         """
-        for link in tuple(self._links.values()):
-            if link.client.peer is not None:
-                return await _ask(link.client, call)
+        for connection in tuple(self._connections.values()):
+            if connection.client.peer is not None:
+                return await _send_call(connection.client, call)
         raise PeerUnreachable(message='no peer is connected')
 
     def _connect(self, nursery: trio.Nursery, now_s: float) -> None:
-        others = [
+        candidates = [
             peer
             for peer in self.peers()
-            if peer not in self._links
+            if peer not in self._connections
             and peer.entry_id != self.identity.entry_id
         ]
-        self.rng.shuffle(others)
-        for peer in others[: _PEERS_COUNT - len(self._links)]:
-            link = _Link(self._client_of(peer), now_s)
-            self._links[peer] = link
-            nursery.start_soon(link.run)
+        self.rng.shuffle(candidates)
+        for peer in candidates[: _MAX_PEERS_COUNT - len(self._connections)]:
+            connection = _PeerConnection(self._make_client(peer), now_s)
+            self._connections[peer] = connection
+            nursery.start_soon(connection.run)
 
-    def _replace_unreached(self, now_s: float) -> None:
+    def _close_unconnected(self, now_s: float) -> None:
         self._close(
             [
                 peer
-                for peer, link in self._links.items()
-                if link.client.peer is None
-                and now_s - link.opened_s > _REACHED_WITHIN_S
+                for peer, connection in self._connections.items()
+                if connection.client.peer is None
+                and now_s - connection.opened_s > _CONNECT_TIMEOUT_S
             ],
         )
 
     def _close(self, peers: Sequence[PeerAddress]) -> None:
         for peer in peers:
-            self._links.pop(peer).scope.cancel()
+            self._connections.pop(peer).scope.cancel()
 
-    def _client_of(self, peer: PeerAddress) -> PeerClient:
+    def _make_client(self, peer: PeerAddress) -> PeerClient:
         return PeerClient(
             partial(open_stream, peer.host, peer.port),
             identity=self.identity,
@@ -163,17 +170,20 @@
     reachability: StoreReachability,
     call: Message,
 ) -> Message:
-    """Carry a peer's call out on the store that this entry reaches itself."""
+    """Execute a peer's call on the store that this entry reaches directly.
+
+    While this entry can't reach the store either, the reply says unavailable.
+    """
     if reachability.is_unreachable:
-        return _reply(CallOutcome.UNAVAILABLE, b'')
+        return _make_reply(CallOutcome.UNAVAILABLE, b'')
     try:
         reply = await execute_call(store, decode_call(call.body))
     except Failure as failure:
-        return _reply(get_outcome(failure), str(failure).encode())
-    return _reply(CallOutcome.DONE, encode_reply(reply))
+        return _make_reply(get_outcome(failure), str(failure).encode())
+    return _make_reply(CallOutcome.DONE, encode_reply(reply))
 
 
-async def _ask(client: PeerClient, call: StoreCall) -> StoreReply:
+async def _send_call(client: PeerClient, call: StoreCall) -> StoreReply:
     timeout_s = _CALL_TIMEOUT_S
     if isinstance(call, PollCall):
         timeout_s += call.wait_ms / _MS_PER_S
@@ -185,11 +195,13 @@
     try:
         reply = await client.call(message, timeout_s=timeout_s)
     except (PeerUnreachable, PeerRefused) as failure:
-        raise StoreAnswerLost(message=f'peer: {failure}') from failure
+        raise StoreAnswerLost(
+            message=f'store call through a peer failed: {failure}',
+        ) from failure
     if reply.status == CallOutcome.DONE:
         return decode_reply(reply.body)
     raise make_failure(reply.status, reply.body.decode('utf-8', 'replace'))
 
 
-def _reply(outcome: CallOutcome, body: bytes) -> Message:
+def _make_reply(outcome: CallOutcome, body: bytes) -> Message:
     return ttypes.JobReply(status=outcome.value, body=body)
--- a/src/marjoramwharf/links/store_settlement.py
+++ b/src/marjoramwharf/links/store_settlement.py
@@ -1,4 +1,4 @@
-"""Settlement of a commit whose answer was lost.
+"""Commits whose outcome is determined even if the store's answer is lost.
 
 Example:
     outcome = await commit_and_settle(
@@ -29,12 +29,12 @@
     Write,
 )
 
-_SETTLE_ROUNDS = 3
+_MAX_SETTLE_ROUNDS = 3
 
 
 @enum.unique
-class _Trace(enum.Enum):
-    """What the written keys show when none has the body of the commit."""
+class _KeyState(enum.Enum):
+    """State of the written keys when none of them has the commit's body."""
 
     UNTOUCHED = 'untouched'
     CREATED_BY_ANOTHER = 'created_by_another'
@@ -48,25 +48,25 @@
     *,
     urgency: Urgency,
 ) -> Committed | Conflict:
-    """Commit, and find out what became of it if the answer was lost.
-
-    Each body that is written must contain a nonce, so that an equal body
-    proves that this commit took effect. After a lost answer:
-
-    - a written key has our body: ``Committed``;
-    - a key that our guards require to be absent was created by another
-      writer: ``Conflict``;
-    - all written keys are as our guards require: not applied so far, but the
-      call may still be under way. The same commit is made again; since each
-      key is guarded, at most one of the two takes effect. If it conflicts
-      and the keys are still untouched, a guard on a further key has changed
-      for good: ``Conflict``.
-
-    In all other cases ``StoreAnswerLost`` is raised, for instance after
-    another writer replaced the value, which may have been ours. The same
-    holds if the store fails meanwhile. A key that is deleted after its
-    commit looks as if it had never been written, so writers that delete keys
-    guard on a further record that changes with the writer.
+    """Commit; if the answer is lost, read the keys back to get the outcome.
+
+    Each written body must contain a nonce, so that an equal body proves that
+    this commit was applied. After a lost answer:
+
+    - A written key has the body of this commit: ``Committed``.
+    - Another writer created a key that the guards require to be absent:
+      ``Conflict``.
+    - All written keys are as the guards require: the commit is not applied
+      yet, but the call may still be in flight. The same commit is sent again;
+      since each key is guarded, at most one of the two is applied. If the
+      second one conflicts and the keys are still untouched, a guard on some
+      other key has changed for good: ``Conflict``.
+
+    ``StoreAnswerLost`` is raised in all other cases, for instance if another
+    writer replaced the value, which may have been that of this commit, and if
+    the store fails meanwhile. A key that is deleted after its commit looks as
+    if it had never been written, so writers that delete keys also need a
+    guard on another record that changes with the writer.
     """
     try:
         return await store.commit(guards, writes, urgency=urgency)
@@ -75,8 +75,8 @@
     try:
         return await _settle(store, guards, writes, urgency)
     except (StoreUnavailable, StoreBudgetSpent, StoreAnswerLost) as cause:
-        # These would claim that nothing was applied, which holds only for
-        # the calls made during the settlement.
+        # These failures say that nothing was applied, which is true only of
+        # the calls made to settle the commit, not of the commit itself.
         raise failure from cause
 
 
@@ -87,12 +87,12 @@
     urgency: Urgency,
 ) -> Committed | Conflict:
     outcome: Committed | Conflict | None = None
-    for _ in range(_SETTLE_ROUNDS):
-        verdict = await _read_back(store, guards, writes)
-        if isinstance(verdict, Committed):
-            return verdict
-        _check_untouched(verdict, guards, writes)
-        if verdict is _Trace.CREATED_BY_ANOTHER or outcome == Conflict():
+    for _ in range(_MAX_SETTLE_ROUNDS):
+        key_state = await _read_back(store, guards, writes)
+        if isinstance(key_state, Committed):
+            return key_state
+        _check_repeatable(key_state, guards, writes)
+        if key_state is _KeyState.CREATED_BY_ANOTHER or outcome == Conflict():
             return Conflict()
         try:
             outcome = await store.commit(guards, writes, urgency=urgency)
@@ -100,49 +100,54 @@
             outcome = None
         if isinstance(outcome, Committed):
             return outcome
-    raise StoreAnswerLost(message='every answer was lost')
+    raise StoreAnswerLost(
+        message='the outcome is still unknown after repeated commits',
+    )
 
 
-def _check_untouched(
-    verdict: _Trace,
+def _check_repeatable(
+    key_state: _KeyState,
     guards: Sequence[Guard],
     writes: Sequence[Write],
 ) -> None:
-    """Raise ``StoreAnswerLost`` where a repetition could apply twice."""
+    """Raise ``StoreAnswerLost`` if a repeated commit could apply twice."""
     guarded = {guard.key for guard in guards}
     is_guarded = all(write.key in guarded for write in writes)
-    if verdict is _Trace.CHANGED:
-        raise StoreAnswerLost(message='another writer changed a key')
-    if verdict is _Trace.UNTOUCHED and not is_guarded:
-        raise StoreAnswerLost(message='a written key has no guard')
+    if key_state is _KeyState.CHANGED:
+        raise StoreAnswerLost(
+            message='another writer changed a key of the commit'
+        )
+    if key_state is _KeyState.UNTOUCHED and not is_guarded:
+        raise StoreAnswerLost(message='a key of the commit has no guard')
 
 
 async def _read_back(
     store: Store,
     guards: Sequence[Guard],
     writes: Sequence[Write],
-) -> Committed | _Trace:
-    """Judge a commit by its keys.
+) -> Committed | _KeyState:
+    """Read the keys of a commit and return what they prove about it.
 
-    The readings are never shed, since they end an unknown outcome.
+    The reads have the highest urgency and are never shed, because they
+    resolve an unknown outcome.
     """
     required = {guard.key: guard.mod_revision for guard in guards}
-    traces = set()
+    key_states = set()
     for write in writes:
         stored = await store.read(write.key, urgency=Urgency.OWNERSHIP)
         if stored is not None and write.body == stored.body:
             return Committed(stored.mod_revision)
-        traces.add(_trace(stored, required.get(write.key)))
-    for trace in (_Trace.CREATED_BY_ANOTHER, _Trace.CHANGED):
-        if trace in traces:
-            return trace
-    return _Trace.UNTOUCHED
+        key_states.add(_compare(stored, required.get(write.key)))
+    for key_state in (_KeyState.CREATED_BY_ANOTHER, _KeyState.CHANGED):
+        if key_state in key_states:
+            return key_state
+    return _KeyState.UNTOUCHED
 
 
-def _trace(stored: StoredValue | None, required: int | None) -> _Trace:
+def _compare(stored: StoredValue | None, required: int | None) -> _KeyState:
     revision = 0 if stored is None else stored.mod_revision
     if required is None or revision == required:
-        return _Trace.UNTOUCHED
+        return _KeyState.UNTOUCHED
     if required == 0 and stored and stored.create_revision == revision:
-        return _Trace.CREATED_BY_ANOTHER
-    return _Trace.CHANGED
+        return _KeyState.CREATED_BY_ANOTHER
+    return _KeyState.CHANGED
