--- a/src/marjoramwharf/_field_lines.py
+++ b/src/marjoramwharf/_field_lines.py
@@ -1,7 +1,7 @@
-"""Line numbers of the fields of a JSON text with comments.
+"""Finds the line numbers of the fields in a JSON text with comments.
 
-The parser of :mod:`jsonc` keeps no positions, and a note of some hundred
-lines is hard to correct without them. The scan accepts every text that the
+The parser of :mod:`jsonc` keeps no positions, but without them it is hard to
+correct a note of some hundred lines. The scanner accepts every text that the
 parser accepts; for other texts the result is incomplete.
 """
 
@@ -22,39 +22,39 @@
 
 
 def find_field_lines(text: str) -> dict[str, int]:
-    """Return the line of each field, by a path such as ``$.limits.team``.
+    """Map the path of each field, such as ``$.limits.team``, to its line.
 
     >>> find_field_lines('{"a": [1, 2]}')['$.a[1]']
     1
     """
     lines = {'$': 1}
-    scan = _Scan(_tokens(text), lines)
-    # A text nested this deeply was refused by the parser before.
+    scanner = _Scanner(_tokenize(text), lines)
+    # The parser has already rejected a text that is nested this deeply.
     with suppress(RecursionError):
-        scan.read_value('$')
+        scanner.read_value('$')
     return lines
 
 
 def find_line(lines: dict[str, int], path: str) -> int:
-    """Return the line of a path, or of its nearest recorded parent."""
+    """Return the line of a path, or else of its nearest parent in ``lines``."""
     while path not in lines and len(path) > 1:
         path = path[: max(path.rfind('.'), path.rfind('['), 1)]
     return lines.get(path, 1)
 
 
-def _tokens(text: str) -> Iterator[tuple[str, int]]:
+def _tokenize(text: str) -> Iterator[tuple[str, int]]:
     line = 1
-    scanned = 0
+    counted_end = 0
     for match in _TOKEN.finditer(text):
-        line += text.count('\n', scanned, match.start())
-        scanned = match.start()
+        line += text.count('\n', counted_end, match.start())
+        counted_end = match.start()
         token = match.group('token')
         if token is not None:
             yield token, line
 
 
-class _Scan:
-    """Reads values recursively and records where each one starts."""
+class _Scanner:
+    """Reads values recursively and records the line where each one starts."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self._lines = lines
 
     def read_value(self, path: str) -> None:
-        """Read the next value, which has this path."""
+        """Read the next value and record its lines under ``path``."""
         token, line = self._next()
         self._read_from(token, line, path)
 
--- a/src/marjoramwharf/errors.py
+++ b/src/marjoramwharf/errors.py
@@ -1,7 +1,7 @@
-"""Failures of the scheduler, each with a type and a reason.
+"""Exceptions of the scheduler.
 
-Every failure carries a member of :class:`Reason`. The reason is the sentinel
-that callers, logs and metrics switch on; the message is for people.
+Every exception class has a :class:`Reason`, the machine-readable code that
+callers, logs and metrics use. The message is for people.
 
     >>> StoreUnavailable(message='no answer within 500 ms').reason
     <Reason.STORE_UNAVAILABLE: 'store_unavailable'>
@@ -15,7 +15,7 @@
 
 @enum.unique
 class Reason(enum.Enum):
-    """Why an operation failed or a request was not run."""
+    """Code for why an operation failed or a request was not run."""
 
     BAD_REQUEST = 'bad_request'
     UNAUTHORIZED = 'unauthorized'
@@ -58,10 +58,10 @@
 
 
 class Failure(Exception):
-    """Base of all failures raised by the scheduler.
+    """Base class of the exceptions that the scheduler raises.
 
-    ``retry_after_s`` is a hint in seconds, or ``None`` where a retry does not
-    help.
+    ``retry_after_s`` is the number of seconds after which a retry may succeed,
+    or ``None`` if a retry does not help.
     """
 
     reason: ClassVar[Reason]
@@ -72,7 +72,7 @@
         message: str,
         retry_after_s: float | None = None,
     ) -> None:
-        """Keep the message and the retry hint."""
+        """Create an exception with a message and an optional retry hint."""
         super().__init__(message)
         self.message = message
         self.retry_after_s = retry_after_s
@@ -85,7 +85,7 @@
 
 
 class StoreUnavailable(Failure):
-    """The store refused a call or was not reached; nothing was applied."""
+    """The store rejected a call or was not reached; nothing was applied."""
 
     reason = Reason.STORE_UNAVAILABLE
 
@@ -93,41 +93,41 @@
 class StoreRefused(StoreUnavailable):
     """The store answered and refused the call; nothing was applied.
 
-    The same call would be refused again, and the store is not down.
+    The store is up, and would refuse the same call again.
     """
 
     reason = Reason.STORE_REFUSED
 
 
 class StoreAnswerLost(Failure):
-    """The answer of a write was lost; it may have been applied.
+    """The answer to a write was lost; the write may have been applied.
 
-    The caller settles it by reading the key back.
+    The caller determines the outcome by reading the key back.
     """
 
     reason = Reason.STORE_ANSWER_LOST
 
 
 class HistoryLost(Failure):
-    """The store no longer has the changes after the asked revision."""
+    """The store no longer has the changes after the requested revision."""
 
     reason = Reason.HISTORY_LOST
 
 
 class LeaseEnded(Failure):
-    """The lease of a write has ended; nothing was applied."""
+    """The lease of a write has expired; nothing was applied."""
 
     reason = Reason.LEASE_ENDED
 
 
 class AdviceUnavailable(Failure):
-    """The advice service did not say which workers may run a step."""
+    """The advice service did not return the workers that may run a step."""
 
     reason = Reason.ADVICE_UNAVAILABLE
 
 
 class StoreBudgetSpent(Failure):
-    """The call was shed to stay within the rates of the store."""
+    """The call was shed to stay within the rate limits of the store."""
 
     reason = Reason.STORE_BUDGET
 
@@ -139,7 +139,7 @@
 
 
 class DirectoryUnavailable(Failure):
-    """The platform's list of instances was not read."""
+    """The platform's list of instances could not be read."""
 
     reason = Reason.DIRECTORY_UNAVAILABLE
 
@@ -151,19 +151,19 @@
 
 
 class WorkerUnreachable(Failure):
-    """A worker's agent did not answer; nothing is known of its state."""
+    """A worker's agent did not answer, so its state is unknown."""
 
     reason = Reason.WORKER_UNREACHABLE
 
 
 class PeerUnreachable(Failure):
-    """A peer entry did not answer in time or the connection was cut."""
+    """A peer entry did not answer in time, or the connection was lost."""
 
     reason = Reason.PEER_UNREACHABLE
 
 
 class PeerRefused(Failure):
-    """A peer answered that it does not do what was asked."""
+    """A peer refused the request."""
 
     reason = Reason.PEER_REFUSED
 
@@ -193,13 +193,13 @@
 
 
 class JournalDamaged(Failure):
-    """The log of a job shard has a gap or an entry that can't be read."""
+    """The log of a job shard has a gap or an undecodable entry."""
 
     reason = Reason.JOURNAL_DAMAGED
 
 
 class KeyReused(Failure):
-    """An idempotency key was used before for something else."""
+    """An idempotency key was used before for a different request."""
 
     reason = Reason.KEY_REUSED
 
@@ -211,6 +211,6 @@
 
 
 class UnknownJob(Failure):
-    """No job has this id, or it was dropped after its retention time."""
+    """No job has this id, or it was removed after its retention time."""
 
     reason = Reason.UNKNOWN_JOB
--- a/src/marjoramwharf/http_errors.py
+++ b/src/marjoramwharf/http_errors.py
@@ -1,7 +1,7 @@
-"""Mapping of failures to HTTP statuses and to one machine-readable body.
+"""Maps failures to HTTP statuses and to one machine-readable error body.
 
-The body is ``{"outcome", "reason", "message", "retry_after_s"}``. ``outcome``
-is ``not_run``, which proves that nothing ran, or ``unknown``.
+The body has ``outcome``, ``reason``, ``message`` and ``retry_after_s``.
+``outcome`` is ``not_run``, which proves that nothing ran, or ``unknown``.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from marjoramwharf.errors import Reason
 
-_STATUS_OF = {
+_STATUS_BY_REASON = {
     Reason.BAD_REQUEST: 400,
     Reason.UNAUTHORIZED: 401,
     Reason.UNKNOWN_SERVICE: 404,
@@ -33,7 +33,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """The body of every answer that is not the service's own."""
+    """The body of every error response that no service produced itself."""
 
     outcome: str
     reason: str
@@ -42,8 +42,8 @@
 
 
 def get_http_status(reason: Reason) -> int:
-    """Return the HTTP status of a proved "not run" with this reason."""
-    return _STATUS_OF.get(reason, _UNAVAILABLE)
+    """Return the HTTP status for a request that did not run."""
+    return _STATUS_BY_REASON.get(reason, _UNAVAILABLE)
 
 
 def error_response(
@@ -55,7 +55,7 @@
     retry_after_s: float | None = None,
     details: dict[str, Any] | None = None,
 ) -> Response:
-    """Return an error with a given status; ``details`` extend the body."""
+    """Return an error response; ``details`` are merged into its body."""
     body = ErrorBody(outcome, reason.value, message, retry_after_s)
     if details:
         extended = {**msgspec.structs.asdict(body), **details}
@@ -69,7 +69,7 @@
     *,
     retry_after_s: float | None = None,
 ) -> Response:
-    """Return the answer that proves that nothing ran."""
+    """Return an error response that proves that nothing ran."""
     return error_response(
         get_http_status(reason),
         reason,
@@ -84,7 +84,10 @@
     *,
     location: str | None,
 ) -> Response:
-    """Return the answer of an unknown outcome, with where to ask later."""
+    """Return the response for an unknown outcome.
+
+    ``location`` is the path under which the caller can ask for it later.
+    """
     response = error_response(
         UNKNOWN_STATUS,
         reason,
@@ -103,7 +106,10 @@
     *,
     retry_after_s: float | None = None,
 ) -> Response:
-    """Return a body as JSON, with the retry hint in whole seconds."""
+    """Encode a body as a JSON response.
+
+    The ``Retry-After`` header has the retry hint in whole seconds.
+    """
     return encoded_response(
         status,
         msgspec.json.encode(body),
@@ -117,7 +123,7 @@
     *,
     retry_after_s: float | None = None,
 ) -> Response:
-    """Return a body that is JSON already."""
+    """Return a response with a body that is already encoded as JSON."""
     response = Response(body, status=status, content_type='application/json')
     if retry_after_s is not None:
         seconds = max(1, math.ceil(retry_after_s))
--- a/src/marjoramwharf/ids.py
+++ b/src/marjoramwharf/ids.py
@@ -1,7 +1,7 @@
-"""Identifiers of the things that the scheduler deals with.
+"""Identifier types of the scheduler.
 
-Each identifier is a distinct type, so that a worker id can't be passed where
-an entry id is meant.
+Each kind of identifier is a distinct type, so that the type checker rejects a
+worker id where an entry id is expected.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 LeaseId = NewType('LeaseId', int)
 ShardId = NewType('ShardId', int)
 
-# Changes with every start of a process, so that a restarted entry or worker
-# is never taken for its predecessor.
+# Differs for every start of a process, so that a restarted entry or worker is
+# not mistaken for its predecessor.
 Incarnation = NewType('Incarnation', str)
 
-# Grows with every change of owner of a shard; a worker refuses lower ones.
+# Increases with every change of a shard's owner. A worker refuses lower ones.
 Epoch = NewType('Epoch', int)
 
-# Number of an accepted release note; it only grows.
+# Number of an accepted release note; it only increases.
 NoteRevision = NewType('NoteRevision', int)
 
 _RANDOM_ID_BYTES = 9
 
 
 def random_id() -> str:
-    """Return a fresh identifier of 18 hexadecimal digits (72 bits)."""
+    """Return a random identifier of 18 hexadecimal digits (72 bits)."""
     return os.urandom(_RANDOM_ID_BYTES).hex()
--- a/src/marjoramwharf/jsonc.py
+++ b/src/marjoramwharf/jsonc.py
@@ -1,4 +1,4 @@
-"""Reading of JSON files with comments into checked models.
+"""Reads JSON files with comments into validated models.
 
 The syntax is JSON with comments and trailing commas. A model is a
 ``msgspec.Struct``; its annotations state the allowed ranges.
@@ -21,7 +21,7 @@
 
 
 def load_file(path: pathlib.Path, model: type[_Model]) -> _Model:
-    """Read a file into a model.
+    """Read and validate a file.
 
     Raises ``BadSettings`` with a message that names the file, the field and
     the allowed range or type.
@@ -34,10 +34,10 @@
 
 
 def load_text(text: str, model: type[_Model], *, origin: str) -> _Model:
-    """Read a text into a model; ``origin`` names it in error messages."""
+    """Parse and validate a text; ``origin`` is its name in error messages."""
     if len(text) > MAX_FILE_BYTES:
         raise BadSettings(
-            message=f'{origin}: larger than {MAX_FILE_BYTES} bytes',
+            message=f'{origin}: file is larger than {MAX_FILE_BYTES} bytes',
         )
     try:
         tree = json5.loads(text, allow_duplicate_keys=False)
--- a/src/marjoramwharf/links/__init__.py
+++ b/src/marjoramwharf/links/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to the store, the instance list and peer entries."""
+"""Connections to the store, the instance directory and peer entries."""
--- a/src/marjoramwharf/links/directory.py
+++ b/src/marjoramwharf/links/directory.py
@@ -1,7 +1,8 @@
 """Client of the platform's list of live and leaving instances.
 
-``GET /instances`` gives ``{"revision": 7, "instances": [...]}``, where each
-instance has the fields of ``machines.worker.Worker``. The list lags.
+``GET /instances`` returns ``{"revision": 7, "instances": [...]}``, where each
+instance has the fields of ``machines.worker.Worker``. The list lags behind
+the actual instances.
 
 Example:
     async with open_directory(settings) as directory:
@@ -24,36 +25,36 @@
 from marjoramwharf.machines.worker import Worker
 from marjoramwharf.settings import DirectorySettings
 
-# 5,200 workers at about 400 bytes are 2 MB; a list takes well under a second
-# to transfer.
+# A list of 5,200 workers has 2 MB, about 400 bytes each, and takes well under
+# a second to transfer.
 _TIMEOUT_S = 2
 _MAX_LISTING_BYTES = 16_777_216
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """The list at one of its revisions, which only grow."""
+    """The list of instances at one revision; revisions only increase."""
 
     revision: int
     instances: tuple[Worker, ...]
 
 
 class DirectoryClient:
-    """Reads the list; made by ``open_directory``."""
+    """Fetches the list of instances; use ``open_directory``."""
 
     def __init__(self, client: httpx.AsyncClient) -> None:
-        """Use a client whose base URL is that of the directory."""
+        """Wrap an HTTP client whose base URL is that of the directory."""
         self._client = client
         self._body = b''
         self._listing: Listing | None = None
 
     async def fetch(self) -> Listing:
-        """Return the present list, the same object while it is unchanged.
+        """Return the current list, the same object while it is unchanged.
 
-        At 5,200 workers a list changes every few seconds at most, and takes
-        about 0.1 s of processor time to decode. Raises
-        ``DirectoryUnavailable`` without a complete answer and ``BadListing``
-        for malformed content.
+        An unchanged list is not decoded again: with 5,200 workers, decoding
+        takes about 0.1 s of CPU time and the list changes every few seconds
+        at most. Raises ``DirectoryUnavailable`` if there is no complete
+        response and ``BadListing`` for malformed content.
         """
         try:
             with trio.fail_after(_TIMEOUT_S):
@@ -67,15 +68,15 @@
         return self._listing
 
     async def _read(self) -> bytes:
-        """Return the body; it is not read further than the limit."""
+        """Return the body; stop reading once it is over the limit."""
         body = bytearray()
         async with self._client.stream('GET', '/instances') as response:
             if response.status_code != httpx.codes.OK:
                 raise DirectoryUnavailable(
-                    message=f'status {response.status_code}',
+                    message=f'directory returned status {response.status_code}',
                 )
-            async for piece in response.aiter_bytes():
-                body.extend(piece)
+            async for chunk in response.aiter_bytes():
+                body.extend(chunk)
                 if len(body) > _MAX_LISTING_BYTES:
                     break
         return bytes(body)
@@ -85,7 +86,7 @@
 async def open_directory(
     settings: DirectorySettings,
 ) -> AsyncIterator[DirectoryClient]:
-    """Open a client for the lifetime of a block."""
+    """Open a client that is closed at the end of the ``async with`` block."""
     async with httpx.AsyncClient(
         base_url=settings.url,
         timeout=_TIMEOUT_S,
@@ -95,13 +96,15 @@
 
 
 def read_listing(body: bytes) -> Listing:
-    """Decode and check a list; raises ``BadListing``.
+    """Decode and validate a list; raises ``BadListing``.
 
-    A list with one bad instance is refused as a whole: if only that instance
-    were left out, it would look as if it had been removed.
+    A list with one invalid instance is rejected as a whole: if only that
+    instance were left out, it would look as if it had been removed.
     """
     if len(body) > _MAX_LISTING_BYTES:
-        raise BadListing(message=f'larger than {_MAX_LISTING_BYTES} bytes')
+        raise BadListing(
+            message=f'list is larger than {_MAX_LISTING_BYTES} bytes'
+        )
     try:
         listing = decode_json(body, Listing)
     except msgspec.MsgspecError as failure:
@@ -114,18 +117,20 @@
     ids = Counter(worker.worker_id for worker in listing.instances)
     for worker_id, count in ids.items():
         if count > 1 or not worker_id:
-            raise BadListing(message=f'{worker_id!r} is listed {count} times')
+            raise BadListing(
+                message=f'worker {worker_id!r} is listed {count} times',
+            )
     for worker in listing.instances:
-        fault = _fault_of(worker)
-        if fault is not None:
-            raise BadListing(message=f'{worker.worker_id!r}: {fault}')
+        problem = _find_problem(worker)
+        if problem is not None:
+            raise BadListing(message=f'worker {worker.worker_id!r}: {problem}')
 
 
-def _fault_of(worker: Worker) -> str | None:
+def _find_problem(worker: Worker) -> str | None:
     if min(astuple(worker.capacity)) < 0:
         return 'negative capacity'
     if not _is_url(worker.url):
-        return f'url {worker.url!r}'
+        return f'invalid url {worker.url!r}'
     return None
 
 
--- a/src/marjoramwharf/links/http_client.py
+++ b/src/marjoramwharf/links/http_client.py
@@ -1,10 +1,10 @@
-"""A small HTTP/1.1 client on h11 and trio with kept connections.
+"""A small HTTP/1.1 client on h11 and trio that reuses connections.
 
-A general client costs an entry about three times as much for a call, which
-matters on instances with less than half a core.
+A general-purpose client costs an entry about three times as much per call,
+which matters on instances with less than half a core.
 
     client = HttpClient()
-    answer = await client.request(
+    response = await client.request(
         'GET', 'http://10.0.0.7:8169/health', timeout_s=1
     )
 """
@@ -24,31 +24,31 @@
 
 _DEFAULT_PORT = 80
 
-# A connection that was idle for longer is not used again: the other side may
-# have closed it, or it may have gone silent without a reset.
+# A connection that was idle for longer is not reused: the server may have
+# closed it, or it may be dead without a reset.
 _MAX_IDLE_S = 8.0
 
 Address = tuple[str, int]
 
-# Errors of a connect that prove that nothing listens at the address.
-_REFUSED = frozenset((errno.ECONNREFUSED, errno.ECONNRESET))
+# Connect errors that prove that no process listens at the address.
+_REFUSED_ERRNOS = frozenset((errno.ECONNREFUSED, errno.ECONNRESET))
 
 
 class CallFailed(Exception):
-    """A request got no whole answer; the server may have acted on it."""
+    """A request got no complete response; the server may have executed it."""
 
 
 class NotConnected(CallFailed):
     """No connection could be opened; the request was not sent."""
 
 
-class _Stale(CallFailed):
-    """A kept connection ended before the first byte of an answer."""
+class _StaleConnection(CallFailed):
+    """A reused connection ended before the first byte of a response."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientResponse:
-    """A whole answer; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: Mapping[str, str]
@@ -62,29 +62,31 @@
 
 @dataclass(slots=True)
 class _Connection:
-    """One connection and the state of its protocol."""
+    """A connection to a server, with its h11 protocol state."""
 
     stream: trio.SocketStream
     protocol: h11.Connection
     idle_since_s: float = 0
-    answers_count: int = 0
-    has_answer: bool = False
+    responses_count: int = 0
+    has_response: bool = False
 
 
 @dataclass(slots=True)
 class _Progress:
-    """Whether any part of a request may have left this process."""
+    """Tracks whether any part of a request may have been sent."""
 
     is_sent: bool = False
 
 
 @dataclass(slots=True)
 class HttpClient:
-    """Keeps idle connections by address."""
+    """Sends requests; keeps idle connections by address for reuse."""
 
     connect_timeout_s: float = 2
     opened_count: int = 0
-    _idle: dict[Address, list[_Connection]] = field(default_factory=dict)
+    _idle_connections: dict[Address, list[_Connection]] = field(
+        default_factory=dict
+    )
 
     async def request(
         self,
@@ -95,17 +97,17 @@
         body: bytes = b'',
         timeout_s: float,
     ) -> ClientResponse:
-        """Send a request and return the whole answer.
+        """Send a request and return the complete response.
 
-        A request on a kept connection that ends without a byte of an answer
-        is sent once more on a new one, so requests have to be idempotent. A
-        ``Host`` among the headers replaces that of the address.
-        Raises ``NotConnected`` if nothing was sent, also when the time was up
+        If a reused connection ends before the first byte of a response, the
+        request is sent once more on a new one, so requests have to be
+        idempotent. A ``Host`` among the headers replaces the URL's host.
+        Raises ``NotConnected`` if nothing was sent, also if the timeout ended
         before a connection was open, else ``CallFailed``.
         """
         parts = urlsplit(url)
         address = (parts.hostname or '', parts.port or _DEFAULT_PORT)
-        sent = h11.Request(
+        head = h11.Request(
             method=method,
             target=url.removeprefix(f'{parts.scheme}://{parts.netloc}'),
             headers=list(
@@ -119,35 +121,35 @@
         progress = _Progress()
         with trio.move_on_after(timeout_s):
             try:
-                return await self._attempt(address, sent, body, progress)
-            except _Stale:
-                return await self._attempt(address, sent, body, progress)
+                return await self._attempt(address, head, body, progress)
+            except _StaleConnection:
+                return await self._attempt(address, head, body, progress)
         if not progress.is_sent:
             raise NotConnected(f'no connection within {timeout_s} s')
-        raise CallFailed(f'no answer within {timeout_s} s')
+        raise CallFailed(f'no response within {timeout_s} s')
 
     async def _attempt(
         self,
         address: Address,
-        sent: h11.Request,
+        head: h11.Request,
         body: bytes,
         progress: _Progress,
     ) -> ClientResponse:
-        connection = await self._take(address, fresh=progress.is_sent)
+        connection = await self._acquire(address, fresh=progress.is_sent)
         progress.is_sent = True
         try:
-            answer = await _exchange(connection, sent, body)
+            response = await _exchange(connection, head, body)
         except (OSError, trio.BrokenResourceError, h11.ProtocolError) as error:
             await trio.aclose_forcefully(connection.stream)
-            raise _failure_of(connection, error) from error
+            raise _make_failure(connection, error) from error
         except trio.Cancelled:
             await trio.aclose_forcefully(connection.stream)
             raise
-        await self._keep(address, connection)
-        return answer
+        await self._release(address, connection)
+        return response
 
-    async def _take(self, address: Address, *, fresh: bool) -> _Connection:
-        idle = self._idle.setdefault(address, [])
+    async def _acquire(self, address: Address, *, fresh: bool) -> _Connection:
+        idle = self._idle_connections.setdefault(address, [])
         oldest_s = trio.current_time() - _MAX_IDLE_S
         while idle:
             connection = idle.pop()
@@ -161,60 +163,62 @@
             with trio.fail_after(self.connect_timeout_s):
                 stream = await open_stream(*address)
         except (OSError, trio.TooSlowError) as failure:
-            raise NotConnected(f'{address[0]}: {failure!r}') from failure
+            raise NotConnected(
+                f'connection to {address[0]} failed: {failure!r}',
+            ) from failure
         self.opened_count += 1
         return _Connection(stream, h11.Connection(h11.CLIENT))
 
-    async def _keep(self, address: Address, connection: _Connection) -> None:
+    async def _release(self, address: Address, connection: _Connection) -> None:
         protocol = connection.protocol
         if {protocol.our_state, protocol.their_state} == {h11.DONE}:
             protocol.start_next_cycle()
             connection.idle_since_s = trio.current_time()
-            connection.answers_count += 1
-            self._idle.setdefault(address, []).append(connection)
+            connection.responses_count += 1
+            self._idle_connections.setdefault(address, []).append(connection)
         else:
             await trio.aclose_forcefully(connection.stream)
 
 
 def is_connection_refused(failure: CallFailed) -> bool:
-    """Tell whether the address answered that nothing listens there."""
+    """Return whether no process listened at the address of a failed call."""
     cause = failure.__cause__
-    return isinstance(cause, OSError) and cause.errno in _REFUSED
+    return isinstance(cause, OSError) and cause.errno in _REFUSED_ERRNOS
 
 
-def _failure_of(connection: _Connection, error: Exception) -> CallFailed:
-    if connection.answers_count and not connection.has_answer:
-        return _Stale(repr(error))
+def _make_failure(connection: _Connection, error: Exception) -> CallFailed:
+    if connection.responses_count and not connection.has_response:
+        return _StaleConnection(repr(error))
     return CallFailed(repr(error))
 
 
 async def _exchange(
     connection: _Connection,
-    sent: h11.Request,
+    head: h11.Request,
     body: bytes,
 ) -> ClientResponse:
     protocol = connection.protocol
-    connection.has_answer = False
-    head = protocol.send(sent) or b''
-    rest = protocol.send(h11.Data(data=body)) or b'' if body else b''
-    end = protocol.send(h11.EndOfMessage()) or b''
-    await connection.stream.send_all(head + rest + end)
-    return await _read(connection)
+    connection.has_response = False
+    raw_head = protocol.send(head) or b''
+    raw_body = protocol.send(h11.Data(data=body)) or b'' if body else b''
+    raw_end = protocol.send(h11.EndOfMessage()) or b''
+    await connection.stream.send_all(raw_head + raw_body + raw_end)
+    return await _read_response(connection)
 
 
-async def _read(connection: _Connection) -> ClientResponse:
+async def _read_response(connection: _Connection) -> ClientResponse:
     stream = connection.stream
     event = await next_event(stream, connection.protocol)
     while isinstance(event, h11.InformationalResponse):
         event = await next_event(stream, connection.protocol)
     if not isinstance(event, h11.Response):
-        raise h11.RemoteProtocolError('closed before the answer')
-    connection.has_answer = True
+        raise h11.RemoteProtocolError('connection closed before the response')
+    connection.has_response = True
     body = await read_body(stream, connection.protocol)
-    return ClientResponse(event.status_code, _decoded(event), body)
+    return ClientResponse(event.status_code, _decode_headers(event), body)
 
 
-def _decoded(response: h11.Response) -> dict[str, str]:
+def _decode_headers(response: h11.Response) -> dict[str, str]:
     return {
         name.decode(): content.decode('latin-1')
         for name, content in response.headers
--- a/src/marjoramwharf/links/http_events.py
+++ b/src/marjoramwharf/links/http_events.py
@@ -1,4 +1,4 @@
-"""Reading of HTTP/1.1 events from a stream, for client and server."""
+"""Reads HTTP/1.1 events from a stream, for the client and the server."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class BodyTooLarge(Exception):
-    """A body is larger than allowed."""
+    """The body of a message is larger than the limit."""
 
 
 async def next_event(stream: trio.abc.Stream, protocol: h11.Connection) -> Any:
-    """Return the next event, reading as much as it needs."""
+    """Return the next event; read from the stream as far as needed."""
     event = protocol.next_event()
     while event is h11.NEED_DATA:
         chunk = await stream.receive_some(_CHUNK_BYTES)
@@ -30,10 +30,10 @@
     *,
     limit_bytes: int | None = None,
 ) -> bytes:
-    """Return the rest of a message.
+    """Read the body of a message to its end.
 
-    Raises ``h11.RemoteProtocolError`` if it was cut and ``BodyTooLarge`` if it
-    has more than ``limit_bytes``.
+    Raises ``h11.RemoteProtocolError`` if the message is truncated and
+    ``BodyTooLarge`` if the body has more than ``limit_bytes``.
     """
     body = bytearray()
     event = await next_event(stream, protocol)
@@ -43,5 +43,5 @@
             raise BodyTooLarge
         event = await next_event(stream, protocol)
     if not isinstance(event, h11.EndOfMessage):
-        raise h11.RemoteProtocolError('the message was cut')
+        raise h11.RemoteProtocolError('the message is truncated')
     return bytes(body)
--- a/src/marjoramwharf/links/http_server.py
+++ b/src/marjoramwharf/links/http_server.py
@@ -1,11 +1,11 @@
-"""A small HTTP/1.1 server on h11 and trio, one task for each connection.
+"""A small HTTP/1.1 server on h11 and trio, with a task for each connection.
 
     server = HttpServer(handle)
     await server.serve(listener)
 
 ``handle`` turns an ``HttpRequest`` into an ``HttpResponse``. During a graceful
-shutdown the server closes idle connections and ends each busy one after its
-answer.
+shutdown the server closes idle connections at once, and each active one after
+its response.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 _LOG = part_logger('http')
 _CHUNK_BYTES = 65_536
 _BACKLOG_COUNT = 512
-_DRAIN_IDLE_S = 1.0
-_TIMED_OUT = 408
-_TOO_LARGE = 413
+_DRAIN_IDLE_TIMEOUT_S = 1.0
+_REQUEST_TIMEOUT = 408
+_CONTENT_TOO_LARGE = 413
 
 HeaderMap = Mapping[str, str]
 
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A whole request; header names are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: str
     target: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole answer with a body of one content type."""
+    """A complete response with a body of one content type."""
 
     status: int
     body: bytes = b''
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class HttpLimits:
-    """What a connection may send, and how long it may take."""
+    """Size limits and timeouts of a connection."""
 
     header_bytes: int = 16_384
     body_bytes: int = 262_144
@@ -64,19 +64,19 @@
 Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 
-class _Refused(Exception):
-    """A request broke a limit; the connection ends after the answer."""
+class _RequestRejected(Exception):
+    """A request exceeds a limit; the connection closes after the response."""
 
     def __init__(self, status: int) -> None:
-        super().__init__(f'status {status}')
+        super().__init__(f'request rejected with status {status}')
         self.status = status
 
 
 @dataclass(slots=True)
 class HttpServer:
-    """Serves connections until its listener is closed.
+    """Serves HTTP connections with one request handler.
 
-    ``limits`` may be replaced at any time and holds for later requests.
+    ``limits`` may be replaced at any time and applies to later requests.
     """
 
     handle: Handler
@@ -93,13 +93,13 @@
                 nursery.start_soon(self.serve_stream, stream)
 
     def drain(self) -> None:
-        """Close idle connections; busy ones end after their answer."""
+        """Close idle connections now and active ones after their response."""
         self.is_draining = True
         for scope in tuple(self._idle_scopes):
             scope.cancel()
 
     async def serve_stream(self, stream: trio.abc.Stream) -> None:
-        """Serve one connection to its end."""
+        """Serve one connection until it ends."""
         protocol = h11.Connection(
             h11.SERVER,
             max_incomplete_event_size=self.limits.header_bytes,
@@ -117,26 +117,26 @@
         stream: trio.abc.Stream,
         protocol: h11.Connection,
     ) -> bool:
-        """Serve one request; tell whether the connection stays open."""
+        """Serve one request; return whether the connection stays open."""
         try:
-            request = await self._read(stream, protocol)
-        except _Refused as refusal:
+            request = await self._read_request(stream, protocol)
+        except _RequestRejected as rejected:
             await _send(
-                stream, protocol, HttpResponse(refusal.status), last=True
+                stream, protocol, HttpResponse(rejected.status), last=True
             )
             return False
         if request is None:
             return False
         self.active_requests_count += 1
         try:
-            reply = await self.handle(request)
-            await _send(stream, protocol, reply, last=self.is_draining)
+            response = await self.handle(request)
+            await _send(stream, protocol, response, last=self.is_draining)
         finally:
             self.active_requests_count -= 1
         states = {protocol.our_state, protocol.their_state}
         return states == {h11.DONE} and not self.is_draining
 
-    async def _read(
+    async def _read_request(
         self,
         stream: trio.abc.Stream,
         protocol: h11.Connection,
@@ -153,9 +153,9 @@
                     limit_bytes=self.limits.body_bytes,
                 )
         except BodyTooLarge as failure:
-            raise _Refused(_TOO_LARGE) from failure
+            raise _RequestRejected(_CONTENT_TOO_LARGE) from failure
         if body is None:
-            raise _Refused(_TIMED_OUT)
+            raise _RequestRejected(_REQUEST_TIMEOUT)
         return HttpRequest(
             method=head.method.decode('ascii'),
             target=head.target.decode('latin-1'),
@@ -172,11 +172,12 @@
         stream: trio.abc.Stream,
         protocol: h11.Connection,
     ) -> h11.Request | None:
-        # A connection that is opened during a drain may still ask once.
-        idle_s = self.limits.idle_timeout_s
+        # A connection that is opened during a drain may still send one
+        # request within a short time.
+        idle_timeout_s = self.limits.idle_timeout_s
         if self.is_draining:
-            idle_s = min(idle_s, _DRAIN_IDLE_S)
-        scope = trio.CancelScope(deadline=trio.current_time() + idle_s)
+            idle_timeout_s = min(idle_timeout_s, _DRAIN_IDLE_TIMEOUT_S)
+        scope = trio.CancelScope(deadline=trio.current_time() + idle_timeout_s)
         with scope:
             while True:
                 event = protocol.next_event()
@@ -200,12 +201,12 @@
 
 
 async def open_listener(host: str, port: int) -> trio.SocketListener:
-    """Listen at an address; raises ``OSError`` if it is taken."""
-    opened = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    await opened.bind((host, port))
-    opened.listen(_BACKLOG_COUNT)
-    return trio.SocketListener(opened)
+    """Listen on an address; raises ``OSError`` if it is in use."""
+    listening_socket = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    await listening_socket.bind((host, port))
+    listening_socket.listen(_BACKLOG_COUNT)
+    return trio.SocketListener(listening_socket)
 
 
 async def _receive(
@@ -218,20 +219,24 @@
 async def _send(
     stream: trio.abc.Stream,
     protocol: h11.Connection,
-    reply: HttpResponse,
+    response: HttpResponse,
     *,
     last: bool,
 ) -> None:
     headers = [
-        ('Content-Type', reply.content_type),
-        ('Content-Length', str(len(reply.body))),
-        *reply.headers,
+        ('Content-Type', response.content_type),
+        ('Content-Length', str(len(response.body))),
+        *response.headers,
     ]
     if last:
         headers.append(('Connection', 'close'))
-    head = protocol.send(
-        h11.Response(status_code=reply.status, headers=headers),
+    raw_head = protocol.send(
+        h11.Response(status_code=response.status, headers=headers),
+    )
+    raw_body = (
+        protocol.send(h11.Data(data=response.body)) if response.body else b''
+    )
+    raw_end = protocol.send(h11.EndOfMessage())
+    await stream.send_all(
+        (raw_head or b'') + (raw_body or b'') + (raw_end or b'')
     )
-    rest = protocol.send(h11.Data(data=reply.body)) if reply.body else b''
-    end = protocol.send(h11.EndOfMessage())
-    await stream.send_all((head or b'') + (rest or b'') + (end or b''))
--- a/src/marjoramwharf/links/members.py
+++ b/src/marjoramwharf/links/members.py
@@ -1,8 +1,8 @@
 """Membership of the entries, kept in the store under ``/members``.
 
 ``Registration`` keeps this entry's record under a store lease.
-``MemberView`` follows the records of all entries and keeps the last known
-ones through an outage of the store.
+``MemberView`` watches the records of all entries and keeps the latest ones
+while the store is down.
 
 Example:
     registration = Registration(store, member, ttl_s=5)
@@ -49,11 +49,11 @@
 
 PREFIX = '/members/'
 
-# Two keep-alives may fail before the lease lapses.
+# Two keep-alives may fail before the lease expires.
 _KEEP_ALIVES_PER_TTL = 3
 
-_FIRST_WAIT_S = 0.1
-_LIMIT_WAIT_S = 2
+_INITIAL_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 2
 
 _STORE_FAILURES = (StoreUnavailable, StoreAnswerLost, StoreBudgetSpent)
 
@@ -69,7 +69,7 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """The record of one entry; ``host`` is an IP number."""
+    """The record of one entry; ``host`` is an IP address."""
 
     entry_id: EntryId
     incarnation: Incarnation
@@ -80,8 +80,8 @@
     state: MemberState = MemberState.LIVE
 
 
-class _Record(Member, frozen=True):
-    """A member with a nonce, so that a lost answer can be settled."""
+class _StoredMember(Member, frozen=True):
+    """A member with a nonce, which identifies a write with a lost answer."""
 
     nonce: str = ''
 
@@ -90,7 +90,7 @@
     """Keeps the record of this entry in the store while ``run`` runs."""
 
     def __init__(self, store: Store, member: Member, *, ttl_s: int) -> None:
-        """Register with a lease of ``ttl_s`` seconds."""
+        """Prepare a registration with a lease of ``ttl_s`` seconds."""
         self._store = store
         self._member = member
         self._ttl_s = ttl_s
@@ -98,18 +98,20 @@
         self._was_registered = False
         self._is_written = False
         self._is_failing = False
-        self._is_withdrawn = False
-        self._backoff = Backoff(initial_s=_FIRST_WAIT_S, max_s=_LIMIT_WAIT_S)
-        self._stirred = trio.Event()
+        self._is_deregistered = False
+        self._backoff = Backoff(
+            initial_s=_INITIAL_BACKOFF_S, max_s=_MAX_BACKOFF_S
+        )
+        self._wake_event = trio.Event()
 
     @property
     def member(self) -> Member:
-        """The record as this entry wants it."""
+        """The record that should be in the store."""
         return self._member
 
     @property
     def is_registered(self) -> bool:
-        """Whether the record was in force at the latest keep-alive."""
+        """Whether the record was in the store at the latest keep-alive."""
         return self._lease is not None and self._is_written
 
     def mark_leaving(self) -> None:
@@ -119,70 +121,70 @@
             state=MemberState.LEAVING,
         )
         self._is_written = False
-        self._stirred.set()
+        self._wake_event.set()
 
     async def deregister(self) -> None:
         """Remove the record on a planned stop and let ``run`` return.
 
-        If the store does not answer, the lease lapses by itself.
+        If the store does not answer, the record stays until its lease expires.
         """
-        self._is_withdrawn = True
-        self._stirred.set()
+        self._is_deregistered = True
+        self._wake_event.set()
         lease = self._lease
         if lease is None:
             return
         try:
             await self._store.revoke_lease(lease)
         except _STORE_FAILURES as failure:
-            _log.info('lease not revoked', cause=failure.message)
+            _log.info('member lease not revoked', cause=failure.message)
 
     async def run(
         self,
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Register and keep the lease alive until withdrawn or cancelled.
+        """Register, then keep the lease alive until deregistered or cancelled.
 
-        ``started`` is reported after the first registration. Raises
-        ``EntryReplaced`` if another process took this entry's record after
-        the lease was lost.
+        Reports ``started`` after the first registration. Raises
+        ``EntryReplaced`` if another process replaced this entry's record
+        after the lease had expired.
         """
-        pause_s = await self._attempt()
-        while not self._is_written and await self._pause(pause_s):
-            pause_s = await self._attempt()
+        delay_s = await self._attempt()
+        while not self._is_written and await self._wait(delay_s):
+            delay_s = await self._attempt()
         task_status.started()
-        while await self._pause(pause_s):
-            pause_s = await self._attempt()
+        while await self._wait(delay_s):
+            delay_s = await self._attempt()
 
     async def _attempt(self) -> float:
-        """Make one step and return the time until the next, in seconds."""
-        self._stirred = trio.Event()
+        """Renew the registration; return the seconds until the next attempt."""
+        self._wake_event = trio.Event()
         try:
-            await self._step()
+            await self._renew()
         except _STORE_FAILURES as failure:
             if not self._is_failing:
-                _log.warning('not renewed', cause=failure.message)
+                _log.warning('registration not renewed', cause=failure.message)
             self._is_failing = True
             return min(self._backoff.next_wait_s(), self._interval_s)
         self._is_failing = False
         self._backoff.reset()
         return self._interval_s
 
-    async def _pause(self, pause_s: float) -> bool:
-        """Wait for the next step; false once the record is withdrawn."""
-        with trio.move_on_after(pause_s):
-            await self._stirred.wait()
-        return not self._is_withdrawn
+    async def _wait(self, delay_s: float) -> bool:
+        """Wait for the next attempt; return false once deregistered."""
+        with trio.move_on_after(delay_s):
+            await self._wake_event.wait()
+        return not self._is_deregistered
 
     @property
     def _interval_s(self) -> float:
         return self._ttl_s / _KEEP_ALIVES_PER_TTL
 
-    async def _step(self) -> None:
-        """Extend the lease, or replace it, and write the record if needed."""
+    async def _renew(self) -> None:
+        """Extend or replace the lease, and write the record if needed."""
         if self._lease is not None:
             if not await self._store.keep_alive(self._lease):
-                _log.info('lease lost', entry=self._member.entry_id)
+                _log.info('member lease expired', entry=self._member.entry_id)
                 self._lease = None
         if self._lease is None:
             self._is_written = False
@@ -191,11 +193,13 @@
             await self._write(self._lease)
 
     async def _write(self, lease: LeaseId) -> None:
-        key = _key_of(self._member.entry_id)
+        key = _make_key(self._member.entry_id)
         found = await self._store.read(key, urgency=Urgency.OWNERSHIP)
-        self._check_ours(found)
+        self._check_not_replaced(found)
         member = self._member
-        record = _Record(**msgspec.structs.asdict(member), nonce=random_id())
+        record = _StoredMember(
+            **msgspec.structs.asdict(member), nonce=random_id()
+        )
         outcome = await commit_and_settle(
             self._store,
             [Guard(key, 0 if found is None else found.mod_revision)],
@@ -203,33 +207,35 @@
             urgency=Urgency.OWNERSHIP,
         )
         if not isinstance(outcome, Committed):
-            raise StoreUnavailable(message='the record changed meanwhile')
+            raise StoreUnavailable(
+                message='the member record was changed by another writer'
+            )
         # ``mark_leaving`` may have been called during the commit.
         self._is_written = member is self._member
         self._was_registered = True
         if not self._is_written:
-            self._stirred.set()
+            self._wake_event.set()
 
-    def _check_ours(self, found: StoredValue | None) -> None:
-        """Raise ``EntryReplaced`` for a successor's record.
+    def _check_not_replaced(self, found: StoredValue | None) -> None:
+        """Raise ``EntryReplaced`` if the stored record is a successor's.
 
-        At the first registration a record of another incarnation is that of
-        the predecessor, whose lease has not lapsed yet.
+        Before the first registration, a record of another incarnation is that
+        of the predecessor, whose lease has not expired yet.
         """
-        holder = None if found is None else _decode(found)
-        if holder is None or not self._was_registered:
+        stored_member = None if found is None else _decode(found)
+        if stored_member is None or not self._was_registered:
             return
-        if holder.incarnation != self._member.incarnation:
+        if stored_member.incarnation != self._member.incarnation:
             raise EntryReplaced(
-                message=f'another incarnation: {holder.incarnation}',
+                message=f'replaced by incarnation {stored_member.incarnation}',
             )
 
 
 class MemberView:
-    """The records of all entries, as the store last showed them."""
+    """The latest records of all entries that were read from the store."""
 
     def __init__(self, store: Store) -> None:
-        """Start empty; ``run`` fills the view."""
+        """Start without members; ``run`` reads and updates them."""
         self._store = store
         self._members: dict[str, Member] = {}
         self._changed = trio.Event()
@@ -247,11 +253,11 @@
         )
 
     def find(self, entry_id: EntryId) -> Member | None:
-        """Return the record of an entry."""
-        return self._members.get(_key_of(entry_id))
+        """Return the record of an entry, or ``None`` if it has none."""
+        return self._members.get(_make_key(entry_id))
 
     async def wait_change(self) -> None:
-        """Wait for the next change of the view."""
+        """Wait for the next change of any record."""
         await self._changed.wait()
 
     async def run(
@@ -259,17 +265,17 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Follow the records until cancelled.
+        """Watch the records until cancelled.
 
-        ``started`` is reported after the first reading.
+        Reports ``started`` after the first read.
         """
-        revision = await self._read_first()
+        revision = await self._read_initial()
         task_status.started()
         async with self._store.watch(PREFIX, from_revision=revision) as batches:
-            await self._follow(batches)
+            await self._apply_batches(batches)
 
-    async def _read_first(self) -> int:
-        backoff = Backoff(initial_s=_FIRST_WAIT_S, max_s=_LIMIT_WAIT_S)
+    async def _read_initial(self) -> int:
+        backoff = Backoff(initial_s=_INITIAL_BACKOFF_S, max_s=_MAX_BACKOFF_S)
         while True:
             try:
                 snapshot = await self._store.read_prefix(
@@ -285,7 +291,7 @@
                 )
                 return snapshot.revision
 
-    async def _follow(self, batches: AsyncIterator[WatchBatch]) -> None:
+    async def _apply_batches(self, batches: AsyncIterator[WatchBatch]) -> None:
         async for batch in batches:
             if batch.restarted:
                 self._members.clear()
@@ -302,14 +308,16 @@
         self._changed = trio.Event()
 
 
-def _key_of(entry_id: EntryId) -> str:
+def _make_key(entry_id: EntryId) -> str:
     return f'{PREFIX}{entry_id}'
 
 
 def _decode(stored: StoredValue) -> Member | None:
-    """Return a record, or ``None`` for one that is malformed."""
+    """Decode a record; return ``None`` if it is malformed."""
     try:
         return msgspec.json.decode(stored.body, type=Member)
     except msgspec.MsgspecError as failure:
-        _log.warning('bad record', key=stored.key, cause=str(failure))
+        _log.warning(
+            'malformed member record', key=stored.key, cause=str(failure)
+        )
         return None
--- a/src/marjoramwharf/links/peer_client.py
+++ b/src/marjoramwharf/links/peer_client.py
@@ -1,4 +1,4 @@
-"""Calls to one peer entry over one connection, which is kept up by one task."""
+"""Client of one peer entry; one task keeps its connection open."""
 
 from __future__ import annotations
 
@@ -36,17 +36,17 @@
 
 _LOG = part_logger('peer')
 _CONNECT_TIMEOUT_S = 2
-_FIRST_BACKOFF_S = 0.05
+_INITIAL_BACKOFF_S = 0.05
 _MAX_BACKOFF_S = 2
 
-# Calls in a row without any reply after which the connection is reopened: a
-# link that drops all packets gives no error for many minutes.
-_SILENT_CALLS_COUNT = 3
+# Consecutive calls without a reply after which the connection is reopened: a
+# network that drops all packets causes no error for many minutes.
+_MAX_UNANSWERED_CALLS = 3
 
 
 @dataclass(slots=True)
-class _Pending:
-    """A call that waits; without a reply the connection was cut."""
+class _PendingCall:
+    """A call in flight; it ends without a reply if the connection is lost."""
 
     done: trio.Event = field(default_factory=trio.Event)
     reply: Message | None = None
@@ -56,7 +56,8 @@
     """Sends messages to one peer and matches the replies by call id.
 
     ``connect`` opens a stream to the peer; it may raise ``OSError``.
-    ``on_failure`` is told why a connection could not be opened.
+    ``on_failure`` is called with the reason why a connection could not be
+    opened.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         rng: random.Random,
         on_failure: Callable[[Exception], None] | None = None,
     ) -> None:
-        """Start without a connection."""
+        """Prepare the client; ``run`` opens the connection."""
         self._on_failure = on_failure
         self.peer: PeerIdentity | None = None
         self._connect = connect
@@ -76,26 +77,27 @@
         self._secret = secret
         self._rng = rng
         self._frames: FrameStream | None = None
-        self._pending: dict[int, _Pending] = {}
-        self._silent_count = 0
+        self._pending: dict[int, _PendingCall] = {}
+        self._unanswered_count = 0
         self._call_ids = itertools.count(1)
 
     async def run(self) -> None:
-        """Keep the connection up until cancelled."""
-        backoff_s: float = _FIRST_BACKOFF_S
+        """Keep the connection open until cancelled."""
+        backoff_s: float = _INITIAL_BACKOFF_S
         while True:
-            if await self._serve_once():
-                backoff_s = _FIRST_BACKOFF_S
-            # Full jitter: peers that lost a link together return spread out.
+            if await self._run_connection():
+                backoff_s = _INITIAL_BACKOFF_S
+            # Full jitter, so that peers disconnected together don't all
+            # reconnect at once.
             await trio.sleep(self._rng.uniform(0, backoff_s))
             backoff_s = min(backoff_s * 2, _MAX_BACKOFF_S)
 
     async def call(self, message: Message, *, timeout_s: float) -> Message:
         """Send a message and return the reply.
 
-        Raises ``PeerUnreachable`` without a connection or an answer in time
-        (the peer may still have acted) and ``PeerRefused`` on a refusal. The
-        call is never repeated here.
+        Raises ``PeerUnreachable`` without a connection or a reply in time
+        (the peer may still have acted) and ``PeerRefused`` if the peer
+        refuses. The call is never retried here.
         """
         name = type(message).__name__
         with start_span(f'peer {name}', kind=SpanKind.CLIENT):
@@ -107,9 +109,9 @@
     async def _exchange(self, message: Message, timeout_s: float) -> Message:
         frames = self._frames
         if frames is None:
-            raise PeerUnreachable(message='not connected')
+            raise PeerUnreachable(message='not connected to the peer')
         call_id = next(self._call_ids)
-        pending = _Pending()
+        pending = _PendingCall()
         self._pending[call_id] = pending
         envelope = pack(
             call_id,
@@ -122,17 +124,22 @@
                 await frames.send(envelope)
                 await pending.done.wait()
         if pending.reply is None:
-            await self._count_silence(frames)
-            raise PeerUnreachable(message=f'no answer within {timeout_s} s')
+            await self._count_unanswered(frames)
+            raise PeerUnreachable(
+                message=f'no reply from the peer within {timeout_s} s'
+            )
         return pending.reply
 
-    async def _count_silence(self, frames: FrameStream) -> None:
-        self._silent_count += 1
-        if self._silent_count >= _SILENT_CALLS_COUNT:
+    async def _count_unanswered(self, frames: FrameStream) -> None:
+        self._unanswered_count += 1
+        if self._unanswered_count >= _MAX_UNANSWERED_CALLS:
             await frames.aclose()
 
-    async def _serve_once(self) -> bool:
-        """Connect and read replies; tell whether the peer was reached."""
+    async def _run_connection(self) -> bool:
+        """Connect and read replies until the connection ends.
+
+        Return whether the connection could be opened.
+        """
         try:
             frames = await self._open()
         except (OSError, Failure) as failure:
@@ -141,13 +148,13 @@
                 self._on_failure(failure)
             return False
         self._frames = frames
-        self._silent_count = 0
+        self._unanswered_count = 0
         try:
             await self._read_replies(frames)
         except (PeerUnreachable, BadFrame) as failure:
             _LOG.info('connection lost', error=str(failure))
         finally:
-            await self._drop(frames)
+            await self._close(frames)
         return True
 
     async def _open(self) -> FrameStream:
@@ -159,11 +166,11 @@
                 await frames.aclose()
                 raise
             return frames
-        raise PeerUnreachable(message='no connection in time')
+        raise PeerUnreachable(message='connecting to the peer timed out')
 
     async def _shake_hands(self, frames: FrameStream) -> PeerIdentity:
-        """Answer the server's nonce and check its own proof."""
-        challenge = _as_hello(await frames.receive())
+        """Prove this entry's identity to the server and verify the server's."""
+        challenge = _unpack_hello(await frames.receive())
         nonces = (challenge.nonce, random_id())
         proof = compute_proof(
             self._secret,
@@ -177,7 +184,7 @@
             proof=proof,
         )
         await frames.send(pack(0, message))
-        answer = _as_hello(await frames.receive())
+        answer = _unpack_hello(await frames.receive())
         if not verify_proof(answer, self._secret, 'server', nonces):
             raise PeerRefused(message='the peer did not prove its identity')
         frames.limit_bytes = MAX_FRAME_BYTES
@@ -186,14 +193,14 @@
     async def _read_replies(self, frames: FrameStream) -> None:
         while True:
             envelope = await frames.receive()
-            self._silent_count = 0
+            self._unanswered_count = 0
             pending = self._pending.get(envelope.call_id)
-            # A reply that comes after its call has timed out is dropped.
+            # A reply to a call that has timed out is dropped.
             if pending is not None and envelope.is_reply:
                 pending.reply = unpack(envelope)
                 pending.done.set()
 
-    async def _drop(self, frames: FrameStream) -> None:
+    async def _close(self, frames: FrameStream) -> None:
         self._frames = None
         self.peer = None
         for pending in self._pending.values():
@@ -201,10 +208,10 @@
         await frames.aclose()
 
 
-def _as_hello(envelope: ttypes.Envelope) -> Message:
+def _unpack_hello(envelope: ttypes.Envelope) -> Message:
     message = unpack(envelope)
     if isinstance(message, ttypes.Refusal):
         raise decode_refusal(message)
     if not isinstance(message, ttypes.Hello):
-        raise BadFrame(message='expected Hello')
+        raise BadFrame(message='expected a Hello message')
     return message
--- a/src/marjoramwharf/links/peer_messages.py
+++ b/src/marjoramwharf/links/peer_messages.py
@@ -1,4 +1,4 @@
-"""The messages between entries, their envelopes and the proof in Hello."""
+"""The messages between entries, their envelopes and their authentication."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerIdentity:
-    """Who is at the other end of a connection."""
+    """Identity of a process at one end of a connection."""
 
     entry_id: EntryId
     incarnation: Incarnation
@@ -63,19 +63,24 @@
 
 
 def unpack(envelope: ttypes.Envelope) -> Message:
-    """Return the one message of an envelope; raises ``BadFrame``."""
+    """Return the message of an envelope.
+
+    Raises ``BadFrame`` unless it contains exactly one.
+    """
     found = [
         getattr(envelope, name)
         for name in _FIELDS.values()
         if getattr(envelope, name) is not None
     ]
     if len(found) != 1:
-        raise BadFrame(message=f'{len(found)} messages in one envelope')
+        raise BadFrame(
+            message=f'envelope with {len(found)} messages instead of one'
+        )
     return found[0]
 
 
 def make_refusal(failure: Failure) -> Message:
-    """Return the message that carries a failure."""
+    """Return the refusal message that reports a failure to a peer."""
     return ttypes.Refusal(
         reason=failure.reason.value,
         message=failure.message,
@@ -83,9 +88,9 @@
 
 
 def decode_refusal(message: Message) -> PeerRefused:
-    """Return the failure that a refusal carries."""
-    known = {reason.value for reason in Reason}
-    code = message.reason if message.reason in known else 'unknown reason'
+    """Return the failure that a refusal message reports."""
+    valid_codes = {reason.value for reason in Reason}
+    code = message.reason if message.reason in valid_codes else 'unknown reason'
     return PeerRefused(message=f'{code}: {message.message}')
 
 
@@ -95,7 +100,7 @@
     nonce: str,
     proof: str,
 ) -> Message:
-    """Return a Hello of this process."""
+    """Return a Hello message with the identity of this process."""
     return ttypes.Hello(
         entry_id=identity.entry_id,
         incarnation=identity.incarnation,
@@ -107,7 +112,7 @@
 
 
 def read_identity(message: Message) -> PeerIdentity:
-    """Return the identity that a Hello states."""
+    """Return the identity that a Hello claims."""
     return PeerIdentity(
         entry_id=EntryId(message.entry_id),
         incarnation=Incarnation(message.incarnation),
@@ -121,9 +126,10 @@
     identity: PeerIdentity,
     nonces: tuple[str, str],
 ) -> str:
-    """Return the HMAC-SHA-256 of an identity over the nonces of both sides.
+    """Return the HMAC-SHA-256 of an identity and the nonces of both sides.
 
-    ``role`` (client or server) keeps a proof from being reflected.
+    ``role`` (client or server) is included so that a peer can't send a proof
+    back to its sender as its own.
     """
     parts = (
         role,
@@ -133,13 +139,16 @@
         str(PROTOCOL_VERSION),
         *nonces,
     )
-    # Each part is prefixed with its length, so that no two lists are equal.
+    # Each part has its length as a prefix, so that two different lists of
+    # parts never give the same text.
     text = ''.join(f'{len(part)}:{part}' for part in parts)
     return hmac.new(secret.encode(), text.encode(), 'sha256').hexdigest()
 
 
 def verify_proof(message: Message, secret: str, role: str, nonces: Any) -> bool:
-    """Check version and proof of a Hello, in constant time."""
+    """Check the version and, in constant time, the proof of a Hello."""
     expected = compute_proof(secret, role, read_identity(message), nonces)
-    is_proved = hmac.compare_digest(expected.encode(), message.proof.encode())
-    return is_proved and message.protocol_version == PROTOCOL_VERSION
+    is_proof_valid = hmac.compare_digest(
+        expected.encode(), message.proof.encode()
+    )
+    return is_proof_valid and message.protocol_version == PROTOCOL_VERSION
--- a/src/marjoramwharf/links/peer_pool.py
+++ b/src/marjoramwharf/links/peer_pool.py
@@ -1,7 +1,7 @@
-"""Connections to all live peers, one task for each.
+"""Keeps a connection to every peer, with one task for each.
 
-The pool follows the view of the members: it starts a client for each new
-incarnation of a peer and ends the client of one that is gone.
+The pool follows the members view: it starts a client for each new incarnation
+of a peer and stops the client of a removed one.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Link:
+class _PooledClient:
     member: Member
     client: PeerClient
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
 
 class PeerPool:
-    """The clients of the peers that the members view shows."""
+    """The clients of all peers in the members view."""
 
     def __init__(
         self,
@@ -37,23 +37,23 @@
         secret: str,
         rng: random.Random,
     ) -> None:
-        """Start without connections."""
+        """Prepare an empty pool; ``run`` opens the connections."""
         self._view = view
         self._identity = identity
         self._secret = secret
         self._rng = rng
-        self._links: dict[EntryId, _Link] = {}
+        self._clients: dict[EntryId, _PooledClient] = {}
 
     def clients(self) -> Mapping[EntryId, PeerClient]:
-        """Return the clients whose connection is up."""
+        """Return the clients that are connected."""
         return {
-            entry_id: link.client
-            for entry_id, link in self._links.items()
-            if link.client.peer is not None
+            entry_id: pooled.client
+            for entry_id, pooled in self._clients.items()
+            if pooled.client.peer is not None
         }
 
     async def run(self) -> None:
-        """Follow the members until cancelled."""
+        """Update the clients from the members view until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 self._update(nursery)
@@ -61,36 +61,36 @@
                     await self._view.wait_change()
 
     def _update(self, nursery: trio.Nursery) -> None:
-        wanted = {
+        peers = {
             member.entry_id: member
             for member in self._view.known()
             if member.entry_id != self._identity.entry_id
         }
-        for entry_id, link in tuple(self._links.items()):
-            found = wanted.get(entry_id)
-            if found is None or found.incarnation != link.member.incarnation:
-                link.scope.cancel()
-                self._links.pop(entry_id)
-        for entry_id, member in wanted.items():
-            if entry_id not in self._links:
-                link = self._link_to(member)
-                self._links[entry_id] = link
-                nursery.start_soon(_run_link, link)
-
-    def _link_to(self, member: Member) -> _Link:
+        for entry_id, pooled in tuple(self._clients.items()):
+            peer = peers.get(entry_id)
+            if peer is None or peer.incarnation != pooled.member.incarnation:
+                pooled.scope.cancel()
+                self._clients.pop(entry_id)
+        for entry_id, member in peers.items():
+            if entry_id not in self._clients:
+                pooled = self._make_client(member)
+                self._clients[entry_id] = pooled
+                nursery.start_soon(_run_client, pooled)
+
+    def _make_client(self, member: Member) -> _PooledClient:
         client = PeerClient(
-            _connector(member),
+            _make_connector(member),
             identity=self._identity,
             secret=self._secret,
             rng=self._rng,
         )
-        return _Link(member, client)
+        return _PooledClient(member, client)
 
 
-async def _run_link(link: _Link) -> None:
-    with link.scope:
-        await link.client.run()
+async def _run_client(pooled: _PooledClient) -> None:
+    with pooled.scope:
+        await pooled.client.run()
 
 
-def _connector(member: Member) -> Callable[[], Awaitable[trio.abc.Stream]]:
+def _make_connector(member: Member) -> Callable[[], Awaitable[trio.abc.Stream]]:
     return partial(trio.open_tcp_stream, member.host, member.peer_port)
--- a/src/marjoramwharf/links/peer_server.py
+++ b/src/marjoramwharf/links/peer_server.py
@@ -1,4 +1,4 @@
-"""Serves the messages of peer entries, one connection task for each peer."""
+"""Serves the messages of peer entries, with one task for each connection."""
 
 from __future__ import annotations
 
@@ -36,15 +36,16 @@
 _LOG = part_logger('peer')
 _HELLO_TIMEOUT_S = 2
 
-# Every peer sends a summary each second; a connection without one is dead.
+# Every peer sends a summary each second, so a connection without any message
+# for this long is dead.
 _IDLE_TIMEOUT_S = 30
 
-# Calls of one peer in progress; further frames wait in the connection.
-_CALLS_COUNT = 64
+# Concurrent calls of one peer; further frames wait in the connection.
+_MAX_CONCURRENT_CALLS = 64
 
 
 class PeerServer:
-    """Answers the messages of proved senders from a table of handlers."""
+    """Dispatches the messages of authenticated peers to handlers."""
 
     def __init__(
         self,
@@ -53,16 +54,16 @@
         identity: PeerIdentity,
         secret: str,
     ) -> None:
-        """Keep the table; a message without a handler is refused."""
+        """Take the handler of each message type; other types are refused."""
         self._handlers = handlers
         self._identity = identity
         self._secret = secret
 
     async def serve(self, stream: trio.abc.Stream) -> None:
-        """Serve one connection until it ends; suits ``trio.serve_listeners``.
+        """Serve one connection to its end, for ``trio.serve_listeners``.
 
-        Handlers of one connection run side by side, so that a slow job call
-        does not delay the renewal of grants.
+        The handlers of one connection run concurrently, so that a slow job
+        call does not delay the renewal of grants.
         """
         frames = FrameStream(stream)
         try:
@@ -77,12 +78,14 @@
         with trio.move_on_after(_HELLO_TIMEOUT_S):
             sender = await self._shake_hands(frames)
         if sender is None:
-            raise PeerUnreachable(message='no Hello in time')
+            raise PeerUnreachable(
+                message='no valid Hello within the time limit'
+            )
         frames.limit_bytes = MAX_FRAME_BYTES
-        limiter = trio.Semaphore(_CALLS_COUNT)
+        limiter = trio.Semaphore(_MAX_CONCURRENT_CALLS)
         async with trio.open_nursery() as nursery:
             while True:
-                envelope = await self._next(frames)
+                envelope = await self._receive(frames)
                 await limiter.acquire()
                 nursery.start_soon(
                     self._answer,
@@ -92,25 +95,30 @@
                     limiter,
                 )
 
-    async def _next(self, frames: FrameStream) -> ttypes.Envelope:
+    async def _receive(self, frames: FrameStream) -> ttypes.Envelope:
         with trio.move_on_after(_IDLE_TIMEOUT_S):
             return await frames.receive()
-        raise PeerUnreachable(message='the connection is idle')
+        raise PeerUnreachable(
+            message='the peer sent nothing within the idle timeout'
+        )
 
     async def _shake_hands(self, frames: FrameStream) -> PeerIdentity:
-        """Send a fresh nonce and refuse a sender that can't answer it."""
+        """Send a nonce and return the identity that the client proves.
+
+        Raises ``PeerRefused`` for a client without a valid proof.
+        """
         nonce = random_id()
         challenge = make_hello(self._identity, nonce=nonce, proof='')
         await frames.send(pack(0, challenge))
         message = unpack(await frames.receive())
         if not isinstance(message, ttypes.Hello):
-            raise BadFrame(message='expected Hello')
+            raise BadFrame(message='expected a Hello message')
         nonces = (nonce, message.nonce)
         if not verify_proof(message, self._secret, 'client', nonces):
-            unknown = PeerRefused(message='unknown sender')
-            reply = make_refusal(unknown)
+            refused = PeerRefused(message='no valid proof of identity')
+            reply = make_refusal(refused)
             await frames.send(pack(0, reply, is_reply=True))
-            raise unknown
+            raise refused
         proof = compute_proof(
             self._secret,
             'server',
@@ -148,7 +156,7 @@
         handler = self._handlers.get(type(message))
         if handler is None:
             return make_refusal(
-                PeerRefused(message=f'{name} is not served'),
+                PeerRefused(message=f'{name} is not served here'),
             )
         headers = {'traceparent': envelope.traceparent or ''}
         with start_span(f'peer {name}', kind=SpanKind.SERVER, headers=headers):
--- a/src/marjoramwharf/links/relayed_store.py
+++ b/src/marjoramwharf/links/relayed_store.py
@@ -129,7 +129,7 @@
         after_revision: int,
         wait_ms: int,
     ) -> WatchBatch:
-        """Wait for changes after a revision; the batch is empty on a timeout."""
+        """Wait for changes after a revision; return none after ``wait_ms``."""
         call = PollCall(prefix, after_revision, wait_ms)
         return _require((await self._execute(call)).batch)
 
--- a/src/marjoramwharf/links/resilient_store.py
+++ b/src/marjoramwharf/links/resilient_store.py
@@ -154,7 +154,7 @@
         *,
         from_revision: int,
     ) -> AsyncIterator[AsyncIterator[WatchBatch]]:
-        """Stream the changes below a prefix; reconnect after lost connections."""
+        """Stream the changes below a prefix, reconnecting when disconnected."""
         with ExitStack() as stack:
             self._change_watches_count(1)
             stack.callback(self._change_watches_count, -1)
--- a/src/marjoramwharf/links/store.py
+++ b/src/marjoramwharf/links/store.py
@@ -146,7 +146,7 @@
         *,
         from_revision: int,
     ) -> AbstractAsyncContextManager[AsyncIterator[WatchBatch]]:
-        """Stream the changes below a prefix; reconnect after lost connections."""
+        """Stream the changes below a prefix, reconnecting when disconnected."""
 
 
 class PollingStore(Protocol):
@@ -184,7 +184,7 @@
         after_revision: int,
         wait_ms: int,
     ) -> WatchBatch:
-        """Wait for changes after a revision; the batch is empty on a timeout.
+        """Wait for changes after a revision; return none after ``wait_ms``.
 
         Raises ``HistoryLost`` if the store no longer has that history.
         """
--- a/src/marjoramwharf/links/tcp.py
+++ b/src/marjoramwharf/links/tcp.py
@@ -1,4 +1,4 @@
-"""TCP connections to an address without a name lookup."""
+"""TCP connections to IP addresses, without name resolution."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 async def open_stream(host: str, port: int) -> trio.SocketStream:
-    """Connect to an IPv4 address; raises ``OSError`` as the system does.
+    """Connect to an IPv4 address; raises the ``OSError`` of the system call.
 
-    Unlike ``trio.open_tcp_stream`` it keeps ``ConnectionRefusedError`` apart
-    from other failures.
+    ``trio.open_tcp_stream`` doesn't tell ``ConnectionRefusedError`` from other
+    failures.
     """
-    opened = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    connection_socket = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        await opened.connect((host, port))
+        await connection_socket.connect((host, port))
     except BaseException:
-        opened.close()
+        connection_socket.close()
         raise
-    return trio.SocketStream(opened)
+    return trio.SocketStream(connection_socket)
--- a/src/marjoramwharf/log_output.py
+++ b/src/marjoramwharf/log_output.py
@@ -1,8 +1,8 @@
-"""Output of log lines that is bounded and never blocks.
+"""Rate-limited, non-blocking output of log lines.
 
-A line that would exceed the budget, or that a full pipe doesn't take, is left
-out and counted; the count is logged once there is room again. Warnings and
-errors have a budget of their own.
+A line over the rate limit, or for which a pipe has no space, is dropped and
+counted; the count is logged with the next line that can be written. Warnings
+and errors have a rate limit of their own.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 from dataclasses import dataclass, field
 
 _LINES_PER_S = 200.0
-_BURST_LINES = 600.0
+_MAX_BURST_LINES = 600.0
 
 
 @dataclass(slots=True)
-class _Budget:
-    """A token bucket of lines."""
+class _LineBucket:
+    """A token bucket that limits the rate of lines."""
 
-    tokens: float = _BURST_LINES
+    tokens: float = _MAX_BURST_LINES
     filled_s: float = 0
 
     def take(self, now_s: float) -> bool:
-        """Take one line, if there is one."""
-        gained = (now_s - self.filled_s) * _LINES_PER_S
-        self.tokens = min(_BURST_LINES, self.tokens + gained)
+        """Take the token of one line; return false if there is none."""
+        refilled = (now_s - self.filled_s) * _LINES_PER_S
+        self.tokens = min(_MAX_BURST_LINES, self.tokens + refilled)
         self.filled_s = now_s
         if self.tokens < 1:
             return False
@@ -36,49 +36,49 @@
 
 @dataclass(slots=True)
 class BoundedOutput:
-    """A logger for structlog that writes whole lines to a descriptor."""
+    """A structlog logger that writes whole lines to a file descriptor."""
 
     descriptor: int
     dropped_lines_count: int = 0
     _unreported_count: int = 0
-    _rest: bytes = b''
-    _usual: _Budget = field(default_factory=_Budget)
-    _urgent: _Budget = field(default_factory=_Budget)
+    _unwritten: bytes = b''
+    _normal_bucket: _LineBucket = field(default_factory=_LineBucket)
+    _urgent_bucket: _LineBucket = field(default_factory=_LineBucket)
 
     def __post_init__(self) -> None:
-        """Let writes fail rather than wait."""
+        """Set the descriptor non-blocking, so that a full pipe can't stall."""
         os.set_blocking(self.descriptor, False)
 
     def debug(self, line: str) -> None:
-        """Write a line of little importance."""
-        self._offer(line, self._usual)
+        """Write a line at the normal rate limit."""
+        self._write_or_drop(line, self._normal_bucket)
 
     def info(self, line: str) -> None:
-        """Write a usual line."""
-        self._offer(line, self._usual)
+        """Write a line at the normal rate limit."""
+        self._write_or_drop(line, self._normal_bucket)
 
     def warning(self, line: str) -> None:
-        """Write an urgent line."""
-        self._offer(line, self._urgent)
+        """Write a line at the rate limit of warnings and errors."""
+        self._write_or_drop(line, self._urgent_bucket)
 
     def error(self, line: str) -> None:
-        """Write an urgent line."""
-        self._offer(line, self._urgent)
+        """Write a line at the rate limit of warnings and errors."""
+        self._write_or_drop(line, self._urgent_bucket)
 
     def critical(self, line: str) -> None:
-        """Write an urgent line."""
-        self._offer(line, self._urgent)
+        """Write a line at the rate limit of warnings and errors."""
+        self._write_or_drop(line, self._urgent_bucket)
 
-    def _offer(self, line: str, budget: _Budget) -> None:
-        if not budget.take(time.monotonic()):
-            self._leave_out()
+    def _write_or_drop(self, line: str, bucket: _LineBucket) -> None:
+        if not bucket.take(time.monotonic()):
+            self._count_dropped()
             return
-        if self._unreported_count and self._write(self._report()):
+        if self._unreported_count and self._write(self._format_report()):
             self._unreported_count = 0
         if not self._write(line):
-            self._leave_out()
+            self._count_dropped()
 
-    def _report(self) -> str:
+    def _format_report(self) -> str:
         return json.dumps(
             {
                 'event': 'logs: lines left out',
@@ -87,27 +87,30 @@
             },
         )
 
-    def _leave_out(self) -> None:
+    def _count_dropped(self) -> None:
         self.dropped_lines_count += 1
         self._unreported_count += 1
 
     def _write(self, line: str) -> bool:
-        """Write a line after the rest of the one before; tell if it went."""
-        if self._rest and not self._flush():
+        """Write a line after the rest of the previous one.
+
+        Return false if no byte of the line could be written.
+        """
+        if self._unwritten and not self._flush():
             return False
-        self._rest = f'{line}\n'.encode()
-        before = len(self._rest)
+        self._unwritten = f'{line}\n'.encode()
+        size_bytes = len(self._unwritten)
         self._flush()
-        # A line that was begun is finished before the next one.
-        if len(self._rest) == before:
-            self._rest = b''
+        # The rest of a partly written line is written before the next line.
+        if len(self._unwritten) == size_bytes:
+            self._unwritten = b''
             return False
         return True
 
     def _flush(self) -> bool:
         try:
-            written = os.write(self.descriptor, self._rest)
+            written = os.write(self.descriptor, self._unwritten)
         except OSError:
             return False
-        self._rest = self._rest[written:]
-        return not self._rest
+        self._unwritten = self._unwritten[written:]
+        return not self._unwritten
--- a/src/marjoramwharf/logs.py
+++ b/src/marjoramwharf/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs with a fixed prefix for each part.
+"""Structured logging; each part of the scheduler has a fixed prefix.
 
 >>> log = part_logger('capacity')
 >>> log.info('shard taken', shard=4, epoch=7)  # doctest: +SKIP
@@ -16,7 +16,7 @@
 
 from marjoramwharf.log_output import BoundedOutput
 
-# Values under these names never reach a log line.
+# The values of these keys are masked in log lines.
 _SECRET_FIELDS = frozenset(('peer_secret', 'operator_token', 'proof', 'token'))
 
 
@@ -26,9 +26,10 @@
     level: int = logging.INFO,
     output: BoundedOutput | None = None,
 ) -> None:
-    """Send logs to an output, as JSON lines or for people.
+    """Set up logging, as JSON lines or in a format for people.
 
-    Without ``output`` they go to standard error, as a command line wants it.
+    Without ``output`` the lines go to standard error, which suits command
+    line programs.
     """
     factory: Any = structlog.PrintLoggerFactory(file=sys.stderr)
     if output is not None:
@@ -57,7 +58,7 @@
 
 
 def part_logger(part: str) -> Any:
-    """Return a logger whose lines start with the name of the part."""
+    """Return a logger whose lines have the name of the part as prefix."""
     return structlog.get_logger(part=part)
 
 
--- a/src/marjoramwharf/metrics.py
+++ b/src/marjoramwharf/metrics.py
@@ -1,7 +1,8 @@
 """Prometheus metrics of requests; ``programs/_gauges.py`` has the others.
 
-Names carry their unit. Labels are bounded: outcomes and reasons are members
-of an Enum, and services are those of the release note in force.
+Names include the unit. The number of label values is bounded: outcomes and
+reasons are members of an enum, and services are those of the active release
+note.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class Metrics:
-    """The metrics of one entry in a registry of their own."""
+    """The request metrics of one entry, with their own registry."""
 
     def __init__(self) -> None:
         """Create and register all metrics."""
--- a/src/marjoramwharf/settings.py
+++ b/src/marjoramwharf/settings.py
@@ -1,7 +1,7 @@
-"""Settings of an entry, read from a JSON file with comments at start.
+"""Settings of an entry, read at startup from a JSON file with comments.
 
-Every field has a type, a range and a default where one is sensible. Unknown
-fields are refused, since a misspelt name would otherwise be ignored.
+Every field has a type, a range and, where sensible, a default. Unknown fields
+are rejected, since a misspelt name would otherwise be ignored.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 
 class _Section(Struct, frozen=True, forbid_unknown_fields=True):
-    """Base of all sections: immutable, with unknown fields refused."""
+    """Base of all sections: immutable, and unknown fields are rejected."""
 
 
 class Listen(_Section, frozen=True):
-    """Addresses on which an entry listens; ``host`` is an IP number."""
+    """Addresses on which an entry listens; ``host`` is an IP address."""
 
     host: str
     http_port: Port
@@ -76,7 +76,7 @@
 
 
 class CapacitySettings(_Section, frozen=True):
-    """Ownership of workers and the lending of their slots."""
+    """Ownership of workers and lending of their slots between entries."""
 
     shard_count: Annotated[int, Meta(ge=1, le=4_096)] = 32
     entry_lease_s: Annotated[int, Meta(ge=1, le=600)] = 5
@@ -158,35 +158,37 @@
 
 
 def load_entry_settings(path: pathlib.Path) -> EntrySettings:
-    """Read and check the settings of an entry.
+    """Read and validate the settings of an entry.
 
     Raises ``BadSettings`` with the file, the field and the allowed range.
     """
     settings = jsonc.load_file(path, EntrySettings)
-    known = {
+    regions = {
         centre.data_centre: centre.region
         for centre in settings.topology.data_centres
     }
-    if known.get(settings.data_centre) != settings.region:
+    if regions.get(settings.data_centre) != settings.region:
         raise BadSettings(
             message=(
                 f'{path}: $.data_centre: {settings.data_centre!r} in region '
                 f'{settings.region!r} is not in $.topology.data_centres'
             ),
         )
-    _check_links(settings.topology, frozenset(known), path)
+    _check_links(settings.topology, frozenset(regions), path)
     return settings
 
 
 def _check_links(
     topology: TopologySettings,
-    known: frozenset[str],
+    data_centres: frozenset[str],
     path: pathlib.Path,
 ) -> None:
     for index, link in enumerate(topology.links):
-        missing = set(link.between) - known
+        missing = set(link.between) - data_centres
         if missing:
             field = f'$.topology.links[{index}].between'
             raise BadSettings(
-                message=f'{path}: {field}: unknown {sorted(missing)}',
+                message=(
+                    f'{path}: {field}: unknown data centres {sorted(missing)}'
+                ),
             )
--- a/src/marjoramwharf/tracing.py
+++ b/src/marjoramwharf/tracing.py
@@ -1,8 +1,8 @@
-"""Trace spans, one for each hop of a request.
+"""Trace spans for each step of a request through the system.
 
-The OpenTelemetry API is always present and costs little while no exporter is
-set. The SDK is imported only when the settings name an OTLP collector, since
-it adds about 20 MB to the resident memory of an entry.
+The OpenTelemetry API is always loaded and costs little without an exporter.
+The SDK is imported only if the settings name an OTLP collector, since it adds
+about 20 MB to the resident memory of an entry.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
     kind: trace.SpanKind = trace.SpanKind.INTERNAL,
     headers: Mapping[str, str] | None = None,
 ) -> Iterator[trace.Span]:
-    """Run a block in a span.
+    """Run a block in a trace span.
 
-    ``headers`` are those of an incoming request; their ``traceparent`` makes
-    the span a child of the caller's.
+    ``headers`` are those of an incoming request; with their ``traceparent``
+    the span becomes a child of the caller's span.
     """
     parent = None if headers is None else propagate.extract(dict(headers))
     with _TRACER.start_as_current_span(
@@ -41,14 +41,14 @@
 
 
 def trace_headers() -> dict[str, str]:
-    """Return the headers that carry the current span to the next hop."""
+    """Return the headers that pass the current span on to the next process."""
     headers: dict[str, str] = {}
     propagate.inject(headers)
     return headers
 
 
 def configure_tracing(settings: TraceSettings, *, entry_id: str) -> None:
-    """Start the export of spans if the settings name a collector."""
+    """Export the spans to the collector of the settings, if there is one."""
     if settings.otlp_url is None:
         return
     from opentelemetry.exporter.otlp.proto.http.trace_exporter import (
--- a/src/marjoramwharf/zones/__init__.py
+++ b/src/marjoramwharf/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Data centres, racks and the distances between them."""
+"""Data centres and the network delays between them."""
--- a/src/marjoramwharf/zones/topology.py
+++ b/src/marjoramwharf/zones/topology.py
@@ -7,12 +7,12 @@
 from marjoramwharf.ids import DataCentreId, RegionId
 from marjoramwharf.settings import TopologySettings
 
-_SAME_CENTRE_ONE_WAY_MS = 0.2
+_SAME_DATA_CENTRE_ONE_WAY_MS = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """The data centres of all regions with the delay of each link."""
+    """The data centres with their regions, and the delays of their links."""
 
     regions: dict[DataCentreId, RegionId]
     default_one_way_ms: float
@@ -21,9 +21,9 @@
     )
 
     def delay_ms(self, start: DataCentreId, end: DataCentreId) -> float:
-        """Return the expected one-way delay in milliseconds."""
+        """Return the expected one-way delay between two data centres."""
         if start == end:
-            return _SAME_CENTRE_ONE_WAY_MS
+            return _SAME_DATA_CENTRE_ONE_WAY_MS
         return self.one_way_ms.get(
             frozenset((start, end)),
             self.default_one_way_ms,
@@ -31,7 +31,7 @@
 
 
 def build_topology(settings: TopologySettings) -> Topology:
-    """Build the topology that checked settings describe."""
+    """Build the topology of validated settings."""
     return Topology(
         regions={
             DataCentreId(centre.data_centre): RegionId(centre.region)
