--- a/src/marjoramwharf/json_bodies.py
+++ b/src/marjoramwharf/json_bodies.py
@@ -21,6 +21,6 @@
     try:
         decoded: _Model = msgspec.json.decode(raw, type=model)
     except (RecursionError, UnicodeError) as failure:
-        message = f'undecodable JSON: {type(failure).__name__}'
+        message = f'unreadable: {type(failure).__name__}'
         raise msgspec.DecodeError(message) from failure
     return decoded
--- a/src/marjoramwharf/links/_etcd_responses.py
+++ b/src/marjoramwharf/links/_etcd_responses.py
@@ -31,7 +31,7 @@
         error = decode_json(response.content, wire.ErrorResponse)
     except msgspec.DecodeError:
         error = wire.ErrorResponse()
-    message = f'etcd status {response.status_code}: {error.message}'
+    message = f'status {response.status_code}: {error.message}'
     if response.is_client_error:
         raise StoreRefused(message=message)
     if error.message in _NOT_PROPOSED:
--- a/src/marjoramwharf/links/directory.py
+++ b/src/marjoramwharf/links/directory.py
@@ -117,20 +117,20 @@
     ids = Counter(worker.worker_id for worker in listing.instances)
     for worker_id, count in ids.items():
         if count > 1 or not worker_id:
-            raise BadListing(
-                message=f'worker {worker_id!r} is listed {count} times',
-            )
+            raise BadListing(message=f'{worker_id!r} is listed {count} times')
     for worker in listing.instances:
         problem = _find_problem(worker)
         if problem is not None:
-            raise BadListing(message=f'worker {worker.worker_id!r}: {problem}')
+            raise BadListing(
+                message=f'{worker.worker_id!r} is invalid: {problem}',
+            )
 
 
 def _find_problem(worker: Worker) -> str | None:
     if min(astuple(worker.capacity)) < 0:
         return 'negative capacity'
     if not _is_url(worker.url):
-        return f'invalid url {worker.url!r}'
+        return f'url {worker.url!r}'
     return None
 
 
--- a/src/marjoramwharf/links/etcd.py
+++ b/src/marjoramwharf/links/etcd.py
@@ -45,7 +45,7 @@
 
 _NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
-_Response = TypeVar('_Response', bound=msgspec.Struct)
+_Answer = TypeVar('_Answer', bound=msgspec.Struct)
 
 
 class EtcdStore:
@@ -164,8 +164,8 @@
         self,
         path: str,
         body: dict[str, Any],
-        response_type: type[_Response],
-    ) -> _Response:
+        response_type: type[_Answer],
+    ) -> _Answer:
         try:
             return await self._call(path, body, response_type)
         except _NOT_SENT as unsent:
@@ -179,8 +179,8 @@
         self,
         path: str,
         body: dict[str, Any],
-        response_type: type[_Response],
-    ) -> _Response:
+        response_type: type[_Answer],
+    ) -> _Answer:
         with trio.fail_after(self._timeout_s):
             response = await self._client.post(
                 path,
--- a/src/marjoramwharf/links/http_server.py
+++ b/src/marjoramwharf/links/http_server.py
@@ -68,7 +68,7 @@
     """A request exceeds a limit; the connection closes after the response."""
 
     def __init__(self, status: int) -> None:
-        super().__init__(f'request rejected with status {status}')
+        super().__init__(f'status {status}')
         self.status = status
 
 
--- a/src/marjoramwharf/links/peer_messages.py
+++ b/src/marjoramwharf/links/peer_messages.py
@@ -74,7 +74,7 @@
     ]
     if len(found) != 1:
         raise BadFrame(
-            message=f'envelope with {len(found)} messages instead of one'
+            message=f'{len(found)} messages in an envelope instead of one'
         )
     return found[0]
 
--- a/src/marjoramwharf/links/relayed_store.py
+++ b/src/marjoramwharf/links/relayed_store.py
@@ -52,7 +52,7 @@
 _PROBE_INTERVAL_S = 0.5
 _PROBE_KEY = 'mw/probe'
 
-_Value = TypeVar('_Value')
+_Found = TypeVar('_Found')
 
 
 class Relay(Protocol):
@@ -196,7 +196,7 @@
         return reply
 
 
-def _require(returned: _Value | None) -> _Value:
+def _require(returned: _Found | None) -> _Found:
     """Return a field that the reply must have; raises ``StoreAnswerLost``."""
     if returned is None:
         raise StoreAnswerLost(message='the reply lacks the result of the call')
--- a/src/marjoramwharf/links/store_budget.py
+++ b/src/marjoramwharf/links/store_budget.py
@@ -116,6 +116,6 @@
 def _admit(bucket: TokenBucket, urgency: Urgency, now_s: float) -> None:
     if not bucket.admit(urgency, now_s):
         raise StoreBudgetSpent(
-            message=f'store rate limit reached for {urgency.name} calls',
+            message=f'store rate limit reached for calls of {urgency.name}',
             retry_after_s=bucket.compute_wait_s(urgency, now_s),
         )
