--- a/src/marjoramwharf/links/http_client.py
+++ b/src/marjoramwharf/links/http_client.py
@@ -164,7 +164,7 @@
                 stream = await open_stream(*address)
         except (OSError, trio.TooSlowError) as failure:
             raise NotConnected(
-                f'{address[0]} did not accept the connection: {failure!r}',
+                f'{address[0]} is unreachable: {failure!r}',
             ) from failure
         self.opened_count += 1
         return _Connection(stream, h11.Connection(h11.CLIENT))
--- a/src/marjoramwharf/links/store_reachability.py
+++ b/src/marjoramwharf/links/store_reachability.py
@@ -38,7 +38,7 @@
         self.is_unreachable = False
 
     def record_failure(self, *, now_s: float) -> None:
-        """Record a call that the store rejected unread or did not answer."""
+        """Record a call that the store did not process or did not answer."""
         self._failures_count += 1
         silence_s = now_s - self._latest_answer_s
         self.is_unreachable = (
--- a/tests/links/test_directory.py
+++ b/tests/links/test_directory.py
@@ -1,4 +1,4 @@
-"""The list client: bad content is refused with a type."""
+"""Directory client: invalid lists are rejected with ``BadListing``."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 
 
 class ListingTests(unittest.TestCase):
-    """Guards against content that becomes a wrong view of the workers."""
+    """Guards against invalid content that gives a wrong list of workers."""
 
     def test_fields_are_read(self) -> None:
-        """Guards against fields that are dropped."""
+        """Guards against fields that are not decoded."""
         listing = read_listing(_listing(_WORKER))
         worker = listing.instances[0]
         self.assertEqual(worker.state, WorkerState.LEAVING)
@@ -43,7 +43,7 @@
         self.assertEqual(worker.services, {'notice'})
 
     def test_bad_content_is_refused(self) -> None:
-        """Guards against a bad instance that is silently left out."""
+        """Guards against an invalid instance that is silently left out."""
         bad_capacity = {**_WORKER['capacity'], 'slots_count': -1}
         for body in (
             b'{',
@@ -57,7 +57,7 @@
                 read_listing(body)
 
     def test_standin_serves_the_list(self) -> None:
-        """Guards against a stand-in and a client that differ."""
+        """Guards against a stand-in and a client that disagree."""
         trio.run(self._read_from_standin)
 
     async def _read_from_standin(self) -> None:
@@ -81,7 +81,7 @@
             nursery.cancel_scope.cancel()
 
     def test_list_lags(self) -> None:
-        """Guards against a stand-in that shows changes at once."""
+        """Guards against a stand-in that shows changes without delay."""
         standin = DirectoryStandin(lag_s=2)
         standin.put(read_listing(_listing(_WORKER)).instances[0], 10)
         self.assertEqual(standin.listing(11).revision, 0)
--- a/tests/links/test_etcd.py
+++ b/tests/links/test_etcd.py
@@ -1,4 +1,7 @@
-"""The etcd client against the stand-in: lost answers, cuts, compaction."""
+"""The etcd client against the stand-in store.
+
+Covers lost answers, lost connections and compaction.
+"""
 
 from __future__ import annotations
 
@@ -59,29 +62,29 @@
 
 
 class CommitTests(unittest.TestCase):
-    """Guards against writes whose effect is misjudged."""
+    """Guards against writes that are reported with the wrong outcome."""
 
-    def test_guards_and_readings(self) -> None:
-        """Guards against a compare that the protocol does not mean."""
-        _run(self._guards_and_readings)
+    def test_guards_and_reads(self) -> None:
+        """Guards against guards that the protocol interprets differently."""
+        _run(self._guards_and_reads)
 
     def test_applied_write_without_answer_is_lost(self) -> None:
         """Guards against "not applied" for a write that took effect."""
         _run(self._lost_answer, timeout_ms=1_000)
 
     def test_refusals_prove_that_nothing_was_applied(self) -> None:
-        """Guards against doubt where the store said no."""
+        """Guards against an unknown outcome after a refusal of the store."""
         _run(self._refusals)
 
     def test_closed_port_is_unavailable(self) -> None:
-        """Guards against doubt about a write that was never sent."""
+        """Guards against an unknown outcome of a write that was not sent."""
         trio.run(self._closed_port)
 
-    def test_lapsed_lease_deletes_its_keys(self) -> None:
-        """Guards against a keep-alive that hides the loss of a lease."""
-        _run(self._lapsed_lease)
+    def test_expired_lease_deletes_its_keys(self) -> None:
+        """Guards against a keep-alive that hides an expired lease."""
+        _run(self._expired_lease)
 
-    async def _guards_and_readings(
+    async def _guards_and_reads(
         self,
         store: EtcdStore,
         _standin: StoreStandin,
@@ -144,7 +147,7 @@
                 with self.assertRaises(StoreUnavailable):
                     await _put(store, '/a', b'1')
 
-    async def _lapsed_lease(
+    async def _expired_lease(
         self,
         store: EtcdStore,
         standin: StoreStandin,
@@ -166,15 +169,20 @@
 class WatchTests(unittest.TestCase):
     """Guards against changes that a watch loses or repeats."""
 
-    def test_resumes_after_a_cut(self) -> None:
-        """Guards against a gap or a repetition across connections."""
-        _run(self._cut)
+    def test_resumes_after_a_disconnect(self) -> None:
+        """Guards against lost or repeated changes after a reconnect."""
+        _run(self._disconnect)
 
     def test_rereads_after_a_compaction(self) -> None:
-        """Guards against keys deleted in the gap that stay in the view."""
+        """Guards against keys that stay although they were deleted.
+
+        The deletion is part of the history that was compacted.
+        """
         _run(self._compaction)
 
-    async def _cut(self, store: EtcdStore, standin: StoreStandin) -> None:
+    async def _disconnect(
+        self, store: EtcdStore, standin: StoreStandin
+    ) -> None:
         await _put(store, '/a/1', b'1')
         async with store.watch('/a/', from_revision=1) as batches:
             self.assertEqual(_bodies(await anext(batches)), [b'1'])
--- a/tests/links/test_etcd_responses.py
+++ b/tests/links/test_etcd_responses.py
@@ -1,4 +1,4 @@
-"""What each answer of the gateway proves, and the ranges of prefixes."""
+"""Failures for the gateway's error responses, and key ranges of prefixes."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from marjoramwharf.links.store import Urgency, Write
 
 
-class AnswerTests(unittest.TestCase):
-    """Guards against proof read into an answer that proves nothing."""
+class ResponseTests(unittest.TestCase):
+    """Guards against failures that claim more than the response proves."""
 
     def test_writes(self) -> None:
-        """Guards against "not applied" for a write that may be applied."""
+        """Guards against ``StoreUnavailable`` for a possibly applied write."""
         no_leader = {'message': 'etcdserver: no leader'}
         timed_out = {'message': 'etcdserver: request timed out'}
         for response, expected in (
@@ -44,7 +44,10 @@
                 self.assertIs(type(raised), expected)
 
     def test_reads(self) -> None:
-        """Guards against a read that leaves something to settle."""
+        """Guards against a lost answer as the failure of a read.
+
+        A failed read has no outcome that the caller has to determine.
+        """
         for response in (
             httpx.Response(502, text='bad gateway'),
             httpx.Response(200, text='{"header":'),
@@ -57,7 +60,7 @@
 
 
 class PrefixTests(unittest.TestCase):
-    """Guards against ranges that miss keys or contain others."""
+    """Guards against key ranges that differ from the keys of a prefix."""
 
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(
@@ -65,7 +68,7 @@
         key=st.text(max_size=8),
     )
     def test_range_is_the_prefix(self, prefix: str, key: str) -> None:
-        """Guards against a wrong end for prefixes with high bytes."""
+        """Guards against a wrong range end for prefixes with high bytes."""
         fields = wire.encode_range(prefix)
         start, end = map(wire.decode, fields.values())
         for candidate in (key, prefix + key):
--- a/tests/links/test_frames.py
+++ b/tests/links/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames: the compiled codec agrees with the plain one and refuses damage."""
+"""Frames: compiled and plain codec agree, and damaged frames are rejected."""
 
 from __future__ import annotations
 
@@ -31,15 +31,16 @@
     ],
 )
 _BODY = encode_frame(pack(7, _SUMMARY))[4:]
-# Struct and list as thrift's binary protocol opens them, in an unknown field.
-_OPENED = {
+# Start of a struct and of a list in Thrift's binary protocol, as the content
+# of an unknown field.
+_NESTED_STARTS = {
     b'\x0c\0\x63': b'\x0c\0\x01',
     b'\x0f\0\x63': b'\x0f\0\0\0\x01',
 }
 
 
 class FrameTests(unittest.TestCase):
-    """Guards against a codec that differs between two entries."""
+    """Guards against entries whose codecs disagree about a frame."""
 
     def test_bytes_are_those_of_the_plain_protocol(self) -> None:
         """Guards against frames that an older entry can't read."""
@@ -49,19 +50,22 @@
         self.assertEqual(decode_body(_BODY).summary, _SUMMARY)
 
     def test_deep_nesting_is_refused(self) -> None:
-        """Guards against a frame that exhausts the stack of the process."""
-        for field, opened in _OPENED.items():
+        """Guards against a nested frame that exhausts the process's stack."""
+        for field, opened in _NESTED_STARTS.items():
             body = b''.join((field, *itertools.repeat(opened, 100_000)))
             with self.subTest(field=field), self.assertRaises(BadFrame):
                 decode_body(body)
 
     @settings(derandomize=True, deadline=None)
     @given(st.integers(0, len(_BODY) - 1), st.integers(0, 255))
-    def test_damage_has_a_type(self, place: int, octet: int) -> None:
-        """Guards against untyped errors on a damaged or cut frame."""
+    def test_damage_raises_bad_frame(self, position: int, octet: int) -> None:
+        """Guards against exceptions other than ``BadFrame``.
+
+        A frame with a changed byte may still be valid; a truncated one isn't.
+        """
         damaged = bytearray(_BODY)
-        damaged[place] = octet
+        damaged[position] = octet
         with suppress(BadFrame):
             decode_body(bytes(damaged))
         with self.assertRaises(BadFrame):
-            decode_body(_BODY[:place])
+            decode_body(_BODY[:position])
--- a/tests/links/test_http.py
+++ b/tests/links/test_http.py
@@ -1,4 +1,4 @@
-"""The lean client against the lean server, with limits and a drain."""
+"""The HTTP client against the HTTP server: reuse, limits, timeouts, drain."""
 
 from __future__ import annotations
 
@@ -43,33 +43,39 @@
 
 
 class HttpTests(unittest.TestCase):
-    """Guards against requests that are cut, mixed up or never end."""
+    """Guards against requests that are aborted, mixed up or never end."""
 
-    def test_kept_connection(self) -> None:
-        """Guards against a connection for each request."""
-        trio.run(self._kept_connection)
+    def test_reused_connection(self) -> None:
+        """Guards against a new connection for each request."""
+        trio.run(self._reused_connection)
 
     def test_limits(self) -> None:
         """Guards against a body that fills the memory."""
         trio.run(self._limits)
 
     def test_timeout(self) -> None:
-        """Guards against an answer that belongs to an earlier request."""
+        """Guards against a response to an earlier, timed out request."""
         trio.run(self._timeout)
 
     def test_nothing_listens(self) -> None:
-        """Guards against an unsent request that counts as unknown."""
+        """Guards against an unknown outcome of a request that was not sent.
+
+        No process listens at the address.
+        """
         trio.run(self._nothing_listens)
 
-    def test_no_answer_to_a_connect(self) -> None:
-        """Guards against a call that was never sent and counts as unknown."""
-        trio.run(self._no_answer_to_a_connect)
+    def test_connect_times_out(self) -> None:
+        """Guards against an unknown outcome of a request that was not sent.
+
+        The connect gets no answer.
+        """
+        trio.run(self._connect_times_out)
 
     def test_drain(self) -> None:
-        """Guards against a request that is cut by a planned stop."""
+        """Guards against a planned stop that aborts an active request."""
         trio.run(self._drain)
 
-    async def _kept_connection(self) -> None:
+    async def _reused_connection(self) -> None:
         client = HttpClient()
         async with _serving() as (_, url):
             for number in range(5):
@@ -114,8 +120,8 @@
             )
         self.assertTrue(is_connection_refused(caught.exception))
 
-    async def _no_answer_to_a_connect(self) -> None:
-        """Connect to a listener whose queue of connections is full."""
+    async def _connect_times_out(self) -> None:
+        """Connect to a listener whose backlog is full."""
         with socket.socket() as full:
             full.bind(('127.0.0.1', 0))
             full.listen(0)
@@ -152,6 +158,6 @@
                 await trio.sleep(0.1)
                 server.drain()
             self.assertEqual([b'GET', b'GET'], answers)
-            # The kept connection was closed, so a new one is opened.
+            # The idle connection was closed, so a new one is opened.
             await ask(url, '0')
         self.assertEqual(3, client.opened_count)
--- a/tests/links/test_members.py
+++ b/tests/links/test_members.py
@@ -1,4 +1,4 @@
-"""Membership: lapsed leases, outages, leaving and replaced entries."""
+"""Membership: expired leases, outages, leaving and replaced entries."""
 
 from __future__ import annotations
 
@@ -45,43 +45,52 @@
 
 
 class MembersTests(unittest.TestCase):
-    """Guards against entries that are missing from or stay in the view."""
+    """Guards against a view with missing or outdated entries."""
 
     def setUp(self) -> None:
-        """Give the entry and the view a store client each."""
+        """Start with an empty store."""
         self.state = KeyValueState()
         self.store = MemoryStore(self.state)
 
     def test_idle_entry_stays_registered(self) -> None:
-        """Guards against a lease that lapses under a running entry."""
-        self._run(self._stays)
+        """Guards against a lease that expires while the entry runs."""
+        self._run(self._keeps_registered)
 
     def test_lost_lease_is_replaced(self) -> None:
-        """Guards against an entry that is invisible after an outage."""
-        self._run(self._lapsed)
+        """Guards against an entry that stays unregistered.
+
+        Its lease expired, for instance during an outage of the store.
+        """
+        self._run(self._lease_lost)
 
     def test_view_outlives_an_outage(self) -> None:
         """Guards against an empty view while the store is down."""
         self._run(self._outage)
 
     def test_leaving_is_published_at_once(self) -> None:
-        """Guards against work sent to a leaving entry until a keep-alive."""
+        """Guards against work sent to an entry that is already leaving.
+
+        The state has to be written at once, not at the next keep-alive.
+        """
         self._run(self._leaving)
 
     def test_lost_answer_is_settled(self) -> None:
-        """Guards against a registration that fights with its own record."""
+        """Guards against a conflict of a registration with its own record.
+
+        The answer to its write was lost, but the write was applied.
+        """
         self._run(self._lost_answer)
 
     def test_successor_is_not_overwritten(self) -> None:
-        """Guards against a paused process that takes back its record."""
+        """Guards against a paused process that overwrites its successor."""
         with self.assertRaises(ExceptionGroup) as raised:
             self._run(self._replaced)
         self.assertIsNotNone(raised.exception.subgroup(EntryReplaced))
 
     def test_malformed_record_is_left_out(self) -> None:
-        """Guards against one bad record that ends the view."""
+        """Guards against a malformed record that stops the view."""
         self.state.apply([Write(f'{PREFIX}entry-0', b'{"entry_id": 1}')])
-        self._run(self._stays)
+        self._run(self._keeps_registered)
 
     def _run(self, check: _Check) -> None:
         async def main() -> None:
@@ -92,14 +101,14 @@
 
         trio.run(main, clock=MockClock(autojump_threshold=0))
 
-    async def _stays(self, nursery: trio.Nursery) -> None:
+    async def _keeps_registered(self, nursery: trio.Nursery) -> None:
         view = await self._start(nursery)
         first = self.state.revision
         await trio.sleep(_TTL_S * 5)
         self.assertEqual(view.live(), (_member('a'),))
         self.assertEqual(self.state.revision, first)
 
-    async def _lapsed(self, nursery: trio.Nursery) -> None:
+    async def _lease_lost(self, nursery: trio.Nursery) -> None:
         view = await self._start(nursery)
         self.state.expire_all_leases()
         self.assertEqual(self.state.below(PREFIX), ())
@@ -155,10 +164,10 @@
 
 
 class MembersOverHttpTests(unittest.TestCase):
-    """Guards against parts that work only with the in-memory store."""
+    """Guards against membership that works only with the in-memory store."""
 
     def test_registration_survives_faults(self) -> None:
-        """Guards against a view that misses changes across a cut."""
+        """Guards against changes that are lost when a watch reconnects."""
         trio.run(self._faults)
 
     async def _faults(self) -> None:
@@ -185,7 +194,7 @@
         standin.set_faults(Faults(drop_watches=True, expire_leases=True))
         while not standin.state.below(PREFIX):
             await trio.sleep(0.01)
-        # A later record shows that the view has seen all before it.
+        # Once the view has this record, it has seen all earlier changes.
         marker = msgspec.structs.replace(_member('m'), entry_id='marker')
         body = msgspec.json.encode(marker)
         standin.state.apply([Write(f'{PREFIX}marker', body)])
--- a/tests/links/test_peer.py
+++ b/tests/links/test_peer.py
@@ -1,4 +1,4 @@
-"""Peer links: only proved senders, and each reply goes to its own call."""
+"""Peer connections: authenticated senders only; replies match their calls."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 async def _handle_job_call(sender: PeerIdentity, message: Message) -> Message:
-    """Answer the later calls first."""
+    """Reply after 1/shard seconds, so that calls are answered out of order."""
     await trio.sleep(1 / message.shard)
     return ttypes.JobReply(status=message.shard, body=sender.entry_id.encode())
 
@@ -52,7 +52,7 @@
 
 
 async def _handle_note_hint(sender: PeerIdentity, message: Message) -> Message:
-    """Never answer, as over a link that drops all packets."""
+    """Never reply, as if the network dropped all packets."""
     await trio.sleep_forever()
 
 
@@ -67,7 +67,7 @@
     return ttypes.JobCall(method='get', shard=number, body=b'')
 
 
-class _Link:
+class _Connection:
     """A server, a client and the stream between them."""
 
     def __init__(self, nursery: trio.Nursery, secret: str) -> None:
@@ -95,12 +95,12 @@
 
 
 @asynccontextmanager
-async def _link(secret: str = _SECRET) -> AsyncIterator[_Link]:
+async def _open_connection(secret: str = _SECRET) -> AsyncIterator[_Connection]:
     async with trio.open_nursery() as nursery:
-        link = _Link(nursery, secret)
-        nursery.start_soon(link.client.run)
+        connection = _Connection(nursery, secret)
+        nursery.start_soon(connection.client.run)
         await trio.sleep(0.5)
-        yield link
+        yield connection
         nursery.cancel_scope.cancel()
 
 
@@ -109,50 +109,53 @@
 
 
 class PeerTests(unittest.TestCase):
-    """Guards against crossed replies and unproved senders."""
+    """Guards against mixed up replies and unauthenticated senders."""
 
     def test_replies_are_matched_by_call_id(self) -> None:
-        """Guards against a reply that reaches another call."""
+        """Guards against a reply that is delivered to another call."""
         replies: dict[int, int] = {}
 
-        async def ask(link: _Link, number: int) -> None:
-            reply = await link.client.call(_job_call(number), timeout_s=5)
+        async def ask(connection: _Connection, number: int) -> None:
+            reply = await connection.client.call(_job_call(number), timeout_s=5)
             replies[number] = reply.status
 
         async def scenario() -> None:
-            async with _link() as link, trio.open_nursery() as nursery:
+            async with (
+                _open_connection() as connection,
+                trio.open_nursery() as nursery,
+            ):
                 for number in range(1, 30):
-                    nursery.start_soon(ask, link, number)
+                    nursery.start_soon(ask, connection, number)
 
         _run(scenario)
         self.assertEqual(replies, {number: number for number in range(1, 30)})
 
     def test_late_reply_is_dropped(self) -> None:
-        """Guards against a late reply taken for that of the next call."""
+        """Guards against a late reply that is taken for the next call's."""
 
         async def scenario() -> Any:
-            async with _link() as link:
+            async with _open_connection() as connection:
                 with self.assertRaises(PeerUnreachable):
-                    await link.client.call(_job_call(1), timeout_s=0.9)
-                return await link.client.call(_job_call(2), timeout_s=5)
+                    await connection.client.call(_job_call(1), timeout_s=0.9)
+                return await connection.client.call(_job_call(2), timeout_s=5)
 
         self.assertEqual(_run(scenario).status, 2)
 
     def test_wrong_secret_is_refused(self) -> None:
-        """Guards against calls of an unknown sender."""
+        """Guards against calls of a sender without the shared secret."""
 
         async def scenario() -> None:
-            async with _link('another-secret-of-16') as link:
-                self.assertIsNone(link.client.peer)
+            async with _open_connection('another-secret-of-16') as connection:
+                self.assertIsNone(connection.client.peer)
                 with self.assertRaises(PeerUnreachable):
-                    await link.client.call(_job_call(1), timeout_s=5)
+                    await connection.client.call(_job_call(1), timeout_s=5)
 
         _run(scenario)
 
     def test_server_without_the_secret_is_refused(self) -> None:
-        """Guards against a process that poses as an owner."""
+        """Guards against a server that impersonates a peer."""
 
-        async def pose(stream: trio.abc.Stream) -> None:
+        async def impersonate(stream: trio.abc.Stream) -> None:
             frames = FrameStream(stream)
             greeting = make_hello(_identity('e2'), nonce='n', proof='')
             await frames.send(pack(0, greeting))
@@ -161,18 +164,18 @@
 
         async def scenario() -> None:
             async with trio.open_nursery() as nursery:
-                link = _Link(nursery, _SECRET)
-                link.serve = pose
-                nursery.start_soon(link.client.run)
+                connection = _Connection(nursery, _SECRET)
+                connection.serve = impersonate
+                nursery.start_soon(connection.client.run)
                 await trio.sleep(0.5)
-                self.assertIsNone(link.client.peer)
-                self.assertTrue(link.streams)
+                self.assertIsNone(connection.client.peer)
+                self.assertTrue(connection.streams)
                 nursery.cancel_scope.cancel()
 
         _run(scenario)
 
     def test_call_before_hello_is_refused(self) -> None:
-        """Guards against a sender that skips the proof."""
+        """Guards against a sender that skips the authentication."""
 
         async def scenario() -> None:
             near, far = memory_stream_pair()
@@ -192,71 +195,71 @@
         _run(scenario)
 
     def test_failures_are_typed(self) -> None:
-        """Guards against a handler's failure that cuts the connection."""
+        """Guards against a handler's failure that closes the connection."""
 
         async def scenario() -> None:
-            async with _link() as link:
+            async with _open_connection() as connection:
                 for message, reason in (
                     (ttypes.Release(reservation_id='x'), 'not_owner: shard 4'),
                     (ttypes.Leaving(entry_id='e1'), 'Leaving is not served'),
                 ):
-                    await self._is_refused(link, message, reason)
+                    await self._is_refused(connection, message, reason)
 
         _run(scenario)
 
-    def test_cut_connection_is_reopened(self) -> None:
-        """Guards against a peer that stays lost after one cut."""
+    def test_lost_connection_is_reopened(self) -> None:
+        """Guards against a peer that stays disconnected."""
 
         async def scenario() -> Any:
-            async with _link() as link:
-                await trio.aclose_forcefully(link.streams[0])
+            async with _open_connection() as connection:
+                await trio.aclose_forcefully(connection.streams[0])
                 with self.assertRaises(PeerUnreachable):
-                    await link.client.call(_job_call(1), timeout_s=5)
+                    await connection.client.call(_job_call(1), timeout_s=5)
                 await trio.sleep(3)
-                return await link.client.call(_job_call(2), timeout_s=5)
+                return await connection.client.call(_job_call(2), timeout_s=5)
 
         self.assertEqual(_run(scenario).body, b'e1')
 
     def test_silent_connection_is_reopened(self) -> None:
-        """Guards against a dead link that gives no error for minutes."""
+        """Guards against a dead connection that causes no error for minutes."""
 
         async def scenario() -> None:
-            async with _link() as link:
+            async with _open_connection() as connection:
                 for _ in range(3):
-                    await self._is_not_answered(link)
+                    await self._is_not_answered(connection)
                 await trio.sleep(3)
-                await link.client.call(_job_call(2), timeout_s=5)
-                self.assertEqual(len(link.streams), 2)
+                await connection.client.call(_job_call(2), timeout_s=5)
+                self.assertEqual(len(connection.streams), 2)
 
         _run(scenario)
 
     def test_idle_connection_is_closed(self) -> None:
-        """Guards against tasks of vanished peers that never end."""
+        """Guards against connection tasks that outlive their peers."""
 
         async def scenario() -> None:
-            async with _link() as link:
+            async with _open_connection() as connection:
                 await trio.sleep(33)
-                self.assertEqual(len(link.streams), 2)
+                self.assertEqual(len(connection.streams), 2)
 
         _run(scenario)
 
-    async def _is_not_answered(self, link: _Link) -> None:
+    async def _is_not_answered(self, connection: _Connection) -> None:
         hint = ttypes.NoteHint(revision=1)
         with self.assertRaises(PeerUnreachable):
-            await link.client.call(hint, timeout_s=1)
+            await connection.client.call(hint, timeout_s=1)
 
     async def _is_refused(
         self,
-        link: _Link,
+        connection: _Connection,
         message: Message,
         reason: str,
     ) -> None:
         with self.assertRaisesRegex(PeerRefused, reason):
-            await link.client.call(message, timeout_s=5)
+            await connection.client.call(message, timeout_s=5)
 
 
 class FrameTests(unittest.TestCase):
-    """Guards against frames that exhaust the memory or crash the reader."""
+    """Guards against frames that exhaust the memory or crash the receiver."""
 
     def test_too_large_is_not_sent(self) -> None:
         """Guards against a frame that the peer would refuse."""
@@ -266,7 +269,7 @@
             encode_frame(pack(1, message))
 
     def test_malformed_frames_are_refused(self) -> None:
-        """Guards against untyped errors of the generated code."""
+        """Guards against exceptions of the generated code that aren't typed."""
         for sent in (
             b'\xff\xff\xff\xff',
             b'\0\0\0\0',
--- a/tests/links/test_prefix_watcher.py
+++ b/tests/links/test_prefix_watcher.py
@@ -1,4 +1,4 @@
-"""Following a prefix across cuts, outages and a lost history."""
+"""Watching a prefix through an outage and a lost history."""
 
 from __future__ import annotations
 
@@ -12,22 +12,25 @@
 from standins.polling_store import PollingMemoryStore
 
 
-class FollowerTests(unittest.TestCase):
-    """Guards against a reader that misses the latest value of a key."""
+class PrefixWatcherTests(unittest.TestCase):
+    """Guards against a watcher that misses the latest value of a key."""
 
     def setUp(self) -> None:
-        """Follow one prefix."""
+        """Set up a watcher of one prefix."""
         self.store = PollingMemoryStore()
         self.seen: dict[str, bytes] = {}
         self.restarts_count = 0
-        self.follower = PrefixWatcher(self.store, 'a/', self._apply)
+        self.watcher = PrefixWatcher(self.store, 'a/', self._apply)
 
     def test_changes(self) -> None:
-        """Guards against changes that are lost between two calls."""
+        """Guards against changes that are lost between two polls."""
         trio.run(self._changes, clock=MockClock(autojump_threshold=0))
 
     def test_faults(self) -> None:
-        """Guards against a reader that an outage or a lost history stops."""
+        """Guards against a watcher that stops after an outage.
+
+        The same holds for a history that the store has compacted.
+        """
         trio.run(self._faults, clock=MockClock(autojump_threshold=0))
 
     async def _apply(self, batch: WatchBatch) -> None:
@@ -44,7 +47,7 @@
     async def _changes(self) -> None:
         await self._put('a/1', b'before')
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.follower.run)
+            nursery.start_soon(self.watcher.run)
             await self._check_seen(0.1, {'a/1': b'before'})
             await self._put('b/1', b'elsewhere')
             await self._put('a/2', b'new')
@@ -54,7 +57,7 @@
 
     async def _faults(self) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.follower.run)
+            nursery.start_soon(self.watcher.run)
             await self._check_seen(1, {})
             self.store.is_down = True
             await trio.sleep(3)
--- a/tests/links/test_relayed_store.py
+++ b/tests/links/test_relayed_store.py
@@ -1,4 +1,4 @@
-"""Store calls of an entry that the store turns away."""
+"""Store calls of an entry whose calls the store rejects."""
 
 from __future__ import annotations
 
@@ -44,17 +44,17 @@
 
 
 @dataclass
-class _Pair:
+class _Entries:
     """An entry ``e1`` and its peer ``e2``, which share the store's state."""
 
-    own: PollingMemoryStore
-    of_peer: PollingMemoryStore
+    own_store: PollingMemoryStore
+    peer_store: PollingMemoryStore
     peer_reachability: StoreReachability
     store: RelayedStore
 
-    async def turn_away(self) -> None:
-        """Let the store refuse e1 until its peer is connected."""
-        self.own.is_down = True
+    async def make_unreachable(self) -> None:
+        """Let the store reject the calls of e1; wait until e2 is connected."""
+        self.own_store.is_down = True
         with trio.fail_after(5):
             while not (
                 self.store.reachability.is_unreachable
@@ -67,16 +67,16 @@
 
 
 @asynccontextmanager
-async def _pair() -> AsyncIterator[_Pair]:
-    own = PollingMemoryStore()
-    of_peer = PollingMemoryStore(own.state)
+async def _open_entries() -> AsyncIterator[_Entries]:
+    own_store = PollingMemoryStore()
+    peer_store = PollingMemoryStore(own_store.state)
     peer_reachability = StoreReachability()
 
-    async def answer(_sender: PeerIdentity, call: Message) -> Message:
-        return await handle_store_call(of_peer, peer_reachability, call)
+    async def handle(_sender: PeerIdentity, call: Message) -> Message:
+        return await handle_store_call(peer_store, peer_reachability, call)
 
     server = PeerServer(
-        {ttypes.JobCall: answer},
+        {ttypes.JobCall: handle},
         identity=_identity('e2'),
         secret=_SECRET,
     )
@@ -93,38 +93,38 @@
         reachability,
         random.Random(1),
     )
-    store = RelayedStore(own, relay, reachability)
+    store = RelayedStore(own_store, relay, reachability)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(
             partial(trio.serve_listeners, server.serve, [listener])
         )
         nursery.start_soon(relay.run)
         nursery.start_soon(store.run_probe)
-        yield _Pair(own, of_peer, peer_reachability, store)
+        yield _Entries(own_store, peer_store, peer_reachability, store)
         nursery.cancel_scope.cancel()
 
 
 class RelayTests(unittest.TestCase):
-    """Guards against an entry that is of no use while the store refuses it."""
+    """Guards against an entry that stops working when the store rejects it."""
 
     def test_every_call_goes_through_a_peer(self) -> None:
-        """Guards against a call that only works directly."""
+        """Guards against a call that can't be relayed through a peer."""
         trio.run(self._every_call)
 
     def test_failures_keep_their_meaning(self) -> None:
-        """Guards against "not done" of what a peer may have done."""
+        """Guards against "not applied" for a call that a peer may have made."""
         trio.run(self._failures)
 
     def test_store_down_for_all(self) -> None:
-        """Guards against an entry that waits for peers without a store."""
+        """Guards against relaying to peers that can't reach the store."""
         trio.run(self._down_for_all)
 
     def test_store_is_back(self) -> None:
-        """Guards against calls that go through a peer for good."""
+        """Guards against relaying after the store is reachable again."""
         trio.run(self._back)
 
     def test_one_lost_answer(self) -> None:
-        """Guards against a detour after a single failure."""
+        """Guards against relaying after a single failure or a short burst."""
         reachability = StoreReachability()
         reachability.record_answer(now_s=1)
         reachability.record_failure(now_s=5)
@@ -137,9 +137,9 @@
         self.assertTrue(reachability.is_unreachable)
 
     async def _every_call(self) -> None:
-        async with _pair() as pair:
-            await pair.turn_away()
-            store = pair.store
+        async with _open_entries() as entries:
+            await entries.make_unreachable()
+            store = entries.store
             lease = await store.grant_lease(60_000)
             first = await store.commit([], [Write('a/1', b'\x00\xff', lease)])
             self.assertIsInstance(first, Committed)
@@ -159,53 +159,53 @@
             self.assertEqual([None], [event.stored for event in batch.events])
 
     async def _failures(self) -> None:
-        async with _pair() as pair:
-            await pair.turn_away()
-            pair.of_peer.answers_to_lose = 1
+        async with _open_entries() as entries:
+            await entries.make_unreachable()
+            entries.peer_store.answers_to_lose = 1
             with self.assertRaises(StoreAnswerLost):
-                await pair.store.commit([], [Write('b', b'1')])
-            gone = LeaseId(77)
+                await entries.store.commit([], [Write('b', b'1')])
+            ended_lease = LeaseId(77)
             with self.assertRaises(LeaseEnded):
-                await pair.store.commit([], [Write('b', b'1', gone)])
-            pair.own.state.compact()
+                await entries.store.commit([], [Write('b', b'1', ended_lease)])
+            entries.own_store.state.compact()
             with self.assertRaises(HistoryLost):
-                await pair.store.poll('b', after_revision=0, wait_ms=10)
+                await entries.store.poll('b', after_revision=0, wait_ms=10)
 
     async def _down_for_all(self) -> None:
-        async with _pair() as pair:
-            await pair.turn_away()
-            pair.of_peer.is_down = True
+        async with _open_entries() as entries:
+            await entries.make_unreachable()
+            entries.peer_store.is_down = True
             with trio.fail_after(5):
-                await self._read_until_away(pair.store)
-            pair.own.is_down = False
-            pair.of_peer.is_down = False
-            await pair.store.read('x')
-            self.assertTrue(pair.store.is_reachable)
+                await self._read_until_unreachable(entries.store)
+            entries.own_store.is_down = False
+            entries.peer_store.is_down = False
+            await entries.store.read('x')
+            self.assertTrue(entries.store.is_reachable)
 
-    async def _read_until_away(self, store: RelayedStore) -> None:
+    async def _read_until_unreachable(self, store: RelayedStore) -> None:
         while store.is_reachable:
             with self.assertRaises(StoreUnavailable):
                 await store.read('x')
             await trio.sleep(0.05)
 
     async def _back(self) -> None:
-        async with _pair() as pair:
-            await pair.turn_away()
-            pair.own.is_down = False
+        async with _open_entries() as entries:
+            await entries.make_unreachable()
+            entries.own_store.is_down = False
             with trio.fail_after(5):
-                while pair.store.reachability.is_unreachable:
+                while entries.store.reachability.is_unreachable:
                     await trio.sleep(0.05)
-            before = pair.of_peer.reads_count
-            await pair.store.read('x')
-            self.assertEqual(before, pair.of_peer.reads_count)
+            reads_count = entries.peer_store.reads_count
+            await entries.store.read('x')
+            self.assertEqual(reads_count, entries.peer_store.reads_count)
 
 
 class InputTests(unittest.TestCase):
-    """Guards against a peer's bytes that end the process."""
+    """Guards against bytes from a peer that crash the process."""
 
     @given(st.binary(max_size=60))
     def test_unreadable_calls(self, raw: bytes) -> None:
-        """Guards against failures without a type."""
+        """Guards against exceptions other than ``BadFrame``."""
         for decode in (decode_call, decode_reply):
             with suppress(BadFrame):
                 decode(raw)
--- a/tests/links/test_resilient_store.py
+++ b/tests/links/test_resilient_store.py
@@ -1,4 +1,4 @@
-"""Shedding, health and retries of the guarded store."""
+"""Shedding, health and retries of the resilient store."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 
 
 class ResilientStoreTests(unittest.TestCase):
-    """Guards against a client that harms a store in trouble."""
+    """Guards against a client that overloads a failing store."""
 
     def test_health_has_hysteresis(self) -> None:
-        """Guards against a state that flips with every call."""
+        """Guards against a health that changes with every call."""
         _run(self._health)
 
     def test_slow_store_is_seen(self) -> None:
-        """Guards against latency that counts as health."""
+        """Guards against a slow store that is reported as healthy."""
         _run(self._slowness)
 
     def test_lost_write_is_not_repeated(self) -> None:
-        """Guards against a blind repetition of a write."""
+        """Guards against a retried write that may already be applied."""
         _run(self._lost_write)
 
     def test_ownership_is_not_shed(self) -> None:
@@ -53,48 +53,48 @@
         self.store = MemoryStore()
 
     async def _health(self) -> None:
-        guarded = self._guarded()
+        resilient = self._make_store()
         self.store.is_down = True
         with self.assertRaises(StoreUnavailable):
-            await guarded.read(_KEY, urgency=Urgency.JOB)
-        self.assertEqual(guarded.health, StoreHealth.DOWN)
-        self.assertEqual(guarded.counters.failed_count, 3)
+            await resilient.read(_KEY, urgency=Urgency.JOB)
+        self.assertEqual(resilient.health, StoreHealth.DOWN)
+        self.assertEqual(resilient.counters.failed_count, 3)
         self.store.is_down = False
-        await guarded.read(_KEY, urgency=Urgency.JOB)
-        self.assertEqual(guarded.health, StoreHealth.DOWN)
-        await guarded.read(_KEY, urgency=Urgency.JOB)
-        self.assertEqual(guarded.health, StoreHealth.HEALTHY)
+        await resilient.read(_KEY, urgency=Urgency.JOB)
+        self.assertEqual(resilient.health, StoreHealth.DOWN)
+        await resilient.read(_KEY, urgency=Urgency.JOB)
+        self.assertEqual(resilient.health, StoreHealth.HEALTHY)
 
     async def _slowness(self) -> None:
-        guarded = self._guarded()
+        resilient = self._make_store()
         self.store.delay_s = 0.4
         for _ in range(8):
-            await guarded.read(_KEY, urgency=Urgency.JOB)
-        self.assertEqual(guarded.health, StoreHealth.SLOW)
+            await resilient.read(_KEY, urgency=Urgency.JOB)
+        self.assertEqual(resilient.health, StoreHealth.SLOW)
         self.store.delay_s = 0
         for _ in range(8):
-            await guarded.read(_KEY, urgency=Urgency.JOB)
-        self.assertEqual(guarded.health, StoreHealth.HEALTHY)
+            await resilient.read(_KEY, urgency=Urgency.JOB)
+        self.assertEqual(resilient.health, StoreHealth.HEALTHY)
 
     async def _lost_write(self) -> None:
-        guarded = self._guarded()
+        resilient = self._make_store()
         self.store.answers_to_lose = 1
         with self.assertRaises(StoreAnswerLost):
-            await guarded.commit(_CREATE, _OURS, urgency=Urgency.CLAIM)
+            await resilient.commit(_CREATE, _OURS, urgency=Urgency.CLAIM)
         self.assertEqual(self.store.writes_count, 1)
-        self.assertEqual(guarded.counters.lost_count, 1)
+        self.assertEqual(resilient.counters.lost_count, 1)
 
     async def _shedding(self) -> None:
-        guarded = self._guarded()
+        resilient = self._make_store()
         for _ in range(10):
-            await guarded.commit((), _OURS, urgency=Urgency.JOB)
+            await resilient.commit((), _OURS, urgency=Urgency.JOB)
         with self.assertRaises(StoreBudgetSpent):
-            await guarded.commit((), _OURS, urgency=Urgency.JOB)
-        lease = await guarded.grant_lease(5)
-        self.assertEqual(await guarded.keep_alive(lease), 5)
-        self.assertEqual(guarded.counters.shed_count, 1)
+            await resilient.commit((), _OURS, urgency=Urgency.JOB)
+        lease = await resilient.grant_lease(5)
+        self.assertEqual(await resilient.keep_alive(lease), 5)
+        self.assertEqual(resilient.counters.shed_count, 1)
 
-    def _guarded(self) -> ResilientStore:
+    def _make_store(self) -> ResilientStore:
         return ResilientStore(
             self.store,
             StoreSettings(url='http://unused', writes_per_s=10),
--- a/tests/links/test_store_budget.py
+++ b/tests/links/test_store_budget.py
@@ -22,10 +22,10 @@
 
 
 class TokenBucketTests(unittest.TestCase):
-    """Guards against shedding that hits urgent calls first."""
+    """Guards against urgent calls that are shed before less urgent ones."""
 
     def test_least_urgent_is_shed_first(self) -> None:
-        """Guards against a wrong order of the classes."""
+        """Guards against reserves in the wrong order of urgency."""
         bucket = TokenBucket(rate_per_s=100, now_s=0)
         admitted = {
             urgency: _admitted_until_shed(bucket, urgency)
@@ -43,7 +43,11 @@
         self.assertTrue(bucket.admit(Urgency.STATUS, wait_s * 1.001))
 
     def test_ownership_debt_is_paid_back(self) -> None:
-        """Guards against a total rate above the share of the entry."""
+        """Guards against a total rate above the entry's share.
+
+        Ownership calls are never shed, so later calls have to wait until the
+        tokens that they overdrew are refilled.
+        """
         bucket = TokenBucket(rate_per_s=10, now_s=0)
         for _ in range(30):
             self.assertTrue(bucket.admit(Urgency.OWNERSHIP, 0))
@@ -71,10 +75,10 @@
 
 
 class StoreBudgetTests(unittest.TestCase):
-    """Guards against rates that leave out a kind of call."""
+    """Guards against calls that are not counted against the budget."""
 
     def test_waiting_watches_take_reads(self) -> None:
-        """Guards against reads beside the watches above the rate."""
+        """Guards against watches and reads that together exceed the rate."""
         budget = StoreBudget(
             StoreSettings(url='http://unused', reads_per_s=10),
             now_s=0,
--- a/tests/links/test_store_settlement.py
+++ b/tests/links/test_store_settlement.py
@@ -1,4 +1,4 @@
-"""Settlement of commits whose answers were lost."""
+"""Outcomes of commits whose answers were lost."""
 
 from __future__ import annotations
 
@@ -27,10 +27,13 @@
 
 
 class _LossyStore(MemoryStore):
-    """Loses requests before they are applied, and then lets another act."""
+    """Loses requests before they are applied.
+
+    ``meanwhile`` is called after each lost request or answer.
+    """
 
     def __init__(self) -> None:
-        """Lose nothing."""
+        """Start without losses."""
         super().__init__()
         self.requests_to_lose = 0
         self.meanwhile: Callable[[], object] = dict
@@ -70,18 +73,18 @@
         self.store = _LossyStore()
 
     def test_applied_commit_is_found(self) -> None:
-        """Guards against "conflict" with our own write."""
+        """Guards against ``Conflict`` for a commit that was applied."""
         self.store.answers_to_lose = 1
         _run(self._is_committed)
         self.assertEqual(self.store.writes_count, 1)
 
     def test_lost_request_is_made_again(self) -> None:
-        """Guards against a write that was lost for good."""
+        """Guards against a lost request that is not sent again."""
         self.store.requests_to_lose = 1
         _run(self._is_committed)
 
     def test_late_first_commit_is_not_a_conflict(self) -> None:
-        """Guards against "conflict" when both commits' answers are lost."""
+        """Guards against ``Conflict`` if both commits' answers are lost."""
         self.store.requests_to_lose = 1
         self.store.answers_to_lose = 1
         _run(self._is_committed)
@@ -95,26 +98,32 @@
         self.assertEqual(self.store.state.stored[_KEY].body, b'other')
 
     def test_replaced_value_stays_unknown(self) -> None:
-        """Guards against "not applied" for a commit that was replaced."""
+        """Guards against "not applied" for a value that was replaced.
+
+        The replaced value may have been that of the commit.
+        """
         self.store.answers_to_lose = 1
         self.store.meanwhile = partial(self._another_writes, _KEY)
         _run(self._is_unknown)
 
     def test_changed_owner_is_a_conflict(self) -> None:
-        """Guards against an unknown outcome where a guard proves one."""
+        """Guards against an unknown outcome although a guard proves one.
+
+        A guarded key that the commit doesn't write has changed.
+        """
         self.store.requests_to_lose = 1
         self.store.meanwhile = partial(self._another_writes, _OWNER)
         _run(self._conflicts_with_owner)
         self.assertNotIn(_KEY, self.store.state.stored)
 
     def test_outage_after_the_loss_stays_unknown(self) -> None:
-        """Guards against "nothing was applied" from the reading back."""
+        """Guards against "not applied" because the read back failed."""
         self.store.answers_to_lose = 1
         self.store.meanwhile = self._goes_down
         _run(self._is_unknown)
 
     def test_unguarded_write_is_not_repeated(self) -> None:
-        """Guards against a repetition that nothing limits to one effect."""
+        """Guards against a commit that is applied twice for lack of a guard."""
         self.store.requests_to_lose = 1
         _run(self._unguarded_is_unknown)
         self.assertEqual(self.store.state.stored, {})
--- a/tests/test_http_errors.py
+++ b/tests/test_http_errors.py
@@ -1,4 +1,4 @@
-"""The body and the headers that all error answers share."""
+"""The body and the headers that all error responses share."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class ErrorBodyTests(unittest.TestCase):
-    """Guards against interfaces whose errors differ."""
+    """Guards against interfaces with different error responses."""
 
-    def test_same_error_of_all_interfaces(self) -> None:
-        """Guards against a hint that is no whole number of seconds."""
+    def test_all_interfaces_return_the_same_error(self) -> None:
+        """Guards against a retry header that isn't in whole seconds."""
         reason = Reason.STORE_BUDGET
         note = ReleaseNote(note_id='n1', author='a', summary='s')
-        answers = (
+        responses = (
             not_run_response(reason, 'shed', retry_after_s=1.2),
             answer_response(note, NotRun(reason, 'shed', 1.2)),
             encoded_response(
@@ -30,11 +30,11 @@
                 retry_after_s=1.2,
             ),
         )
-        for answer in answers:
-            self.assertEqual(answer.status_code, 503)
-            self.assertEqual(answer.headers['Retry-After'], '2')
+        for response in responses:
+            self.assertEqual(response.status_code, 503)
+            self.assertEqual(response.headers['Retry-After'], '2')
             self.assertEqual(
-                json.loads(trio.run(answer.get_data)),
+                json.loads(trio.run(response.get_data)),
                 {
                     'outcome': 'not_run',
                     'reason': 'store_budget',
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -1,4 +1,4 @@
-"""Log output that is bounded and never blocks."""
+"""Log output that is rate-limited and never blocks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class BoundedOutputTests(unittest.TestCase):
-    """Guards against logs that stop the process or hide what they left out."""
+    """Guards against logging that blocks, or drops lines without a report."""
 
     def setUp(self) -> None:
         """Log into a pipe."""
@@ -22,7 +22,7 @@
         self.addCleanup(os.close, writer)
 
     def test_full_pipe(self) -> None:
-        """Guards against a pipe that nobody reads."""
+        """Guards against blocking on a pipe that nobody reads."""
         for _ in range(500):
             self.output.warning('x' * 1_000)
         self.assertGreater(self.output.dropped_lines_count, 0)
@@ -31,13 +31,13 @@
         lines = (text + self._read_text()).splitlines()
         self.assertEqual('after', lines[-1])
         reports = [line for line in lines if line.startswith('{')]
-        counted = sum(json.loads(report)['count'] for report in reports)
-        self.assertEqual(self.output.dropped_lines_count, counted)
+        reported_count = sum(json.loads(report)['count'] for report in reports)
+        self.assertEqual(self.output.dropped_lines_count, reported_count)
         others = set(lines) - set(reports)
         self.assertEqual({'x' * 1_000, 'after'}, others)
 
-    def test_budget(self) -> None:
-        """Guards against a burst that drowns the warnings."""
+    def test_rate_limit(self) -> None:
+        """Guards against a burst of info lines that displaces an error."""
         for _ in range(5_000):
             self.output.info('usual')
         self.output.error('urgent')
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: bad values are refused with file, field and range."""
+"""Settings: invalid values are rejected with file, field and range."""
 
 from __future__ import annotations
 
@@ -30,38 +30,38 @@
     """Guards against settings that are accepted with a wrong meaning."""
 
     def setUp(self) -> None:
-        """Make a directory for the settings file."""
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = pathlib.Path(folder.name) / 'entry.json'
+        """Create a directory for the settings file."""
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path = pathlib.Path(directory.name) / 'entry.json'
 
     def test_comments_are_allowed(self) -> None:
-        """Guards against a parser of plain JSON."""
+        """Guards against a parser that accepts only plain JSON."""
         self.path.write_text(f'// an entry\n{json.dumps(_GOOD)}')
         settings = load_entry_settings(self.path)
         self.assertEqual(settings.capacity.grant_ttl_ms, 3000)
 
     def test_error_names_file_field_and_range(self) -> None:
-        """Guards against messages that leave the operator searching."""
-        self._refused(
+        """Guards against messages that don't say what to correct."""
+        self._assert_rejected(
             {'store': {'url': 'http://127.0.0.1:1', 'timeout_ms': 1}},
             r'entry\.json.*>= 10.*\$\.store\.timeout_ms',
         )
 
-    def test_unknown_field_is_refused(self) -> None:
+    def test_unknown_field_is_assert_rejected(self) -> None:
         """Guards against a misspelt name that has no effect."""
-        self._refused({'lisen': {}}, 'lisen')
+        self._assert_rejected({'lisen': {}}, 'lisen')
 
-    def test_unknown_data_centre_is_refused(self) -> None:
-        """Guards against an entry that is placed nowhere."""
-        self._refused({'data_centre': 'dc-9'}, 'topology.data_centres')
+    def test_unknown_data_centre_is_assert_rejected(self) -> None:
+        """Guards against an entry whose data centre isn't in the topology."""
+        self._assert_rejected({'data_centre': 'dc-9'}, 'topology.data_centres')
 
-    def test_missing_file_is_refused(self) -> None:
+    def test_missing_file_is_assert_rejected(self) -> None:
         """Guards against an untyped error for a missing file."""
         with self.assertRaisesRegex(BadSettings, 'No such file'):
             load_entry_settings(self.path)
 
-    def _refused(self, change: dict[str, Any], pattern: str) -> None:
+    def _assert_rejected(self, change: dict[str, Any], pattern: str) -> None:
         self.path.write_text(json.dumps({**_GOOD, **change}))
         with self.assertRaisesRegex(BadSettings, pattern):
             load_entry_settings(self.path)
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -1,4 +1,4 @@
-"""One request gives a span for each hop, under the right parents."""
+"""Each step of a request has a trace span with the right parent."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class _RemoteFleet(Fleet):
-    """A worker behind HTTP, whose permits are asked for at a peer."""
+    """A worker behind HTTP whose permits need a call to a peer."""
 
     def __init__(self) -> None:
         super().__init__('w1')
@@ -72,10 +72,10 @@
 
 
 class TracingTests(unittest.TestCase):
-    """Guards against hops that are missing or hang at another request."""
+    """Guards against missing spans and spans with a wrong parent."""
 
-    def test_hops_of_a_request(self) -> None:
-        """Guards against a broken chain from the caller to the worker."""
+    def test_spans_of_a_request(self) -> None:
+        """Guards against a trace that breaks between caller and worker."""
         exporter = InMemorySpanExporter()
         provider = TracerProvider()
         provider.add_span_processor(SimpleSpanProcessor(exporter))
