--- a/src/marjoramwharf/links/backoff.py
+++ b/src/marjoramwharf/links/backoff.py
@@ -31,14 +31,14 @@
         """Start with a ceiling of ``initial_s``; it doubles up to ``max_s``."""
         self._first_s = initial_s
         self._limit_s = max_s
-        self._source = rng or random.Random()
+        self._rng = rng or random.Random()
         self._attempt = 0
 
     def next_wait_s(self) -> float:
         """Return the next wait in seconds."""
         ceiling_s = min(self._limit_s, self._first_s * 2**self._attempt)
         self._attempt = min(self._attempt + 1, _MAX_DOUBLINGS)
-        return self._source.uniform(0, ceiling_s)
+        return self._rng.uniform(0, ceiling_s)
 
     def reset(self) -> None:
         """Reset the ceiling after a success."""
--- a/src/marjoramwharf/links/etcd.py
+++ b/src/marjoramwharf/links/etcd.py
@@ -61,7 +61,7 @@
         """Wrap an HTTP client whose base URL is that of the gateway."""
         self._client = client
         self._timeout_s = timeout_s
-        self._source = rng or random.Random()
+        self._rng = rng or random.Random()
 
     async def read(self, key: str, *, urgency: Urgency) -> StoredValue | None:
         """Return the value of a key, or ``None`` if it does not exist."""
@@ -137,7 +137,7 @@
             lambda: self._range(wire.encode_range(prefix)),
             prefix=prefix,
             revision=from_revision,
-            rng=self._source,
+            rng=self._rng,
         )
         while True:
             async with aclosing(watch.connection()) as batches:
--- a/src/marjoramwharf/links/peer_client.py
+++ b/src/marjoramwharf/links/peer_client.py
@@ -22,13 +22,13 @@
 from marjoramwharf.links.peer_messages import (
     Message,
     PeerIdentity,
-    make_hello,
-    read_identity,
-    pack,
     compute_proof,
-    verify_proof,
     decode_refusal,
+    make_hello,
+    pack,
+    read_identity,
     unpack,
+    verify_proof,
 )
 from marjoramwharf.links.thrift_types.peer import ttypes
 from marjoramwharf.logs import part_logger
--- a/src/marjoramwharf/links/peer_server.py
+++ b/src/marjoramwharf/links/peer_server.py
@@ -19,13 +19,13 @@
 from marjoramwharf.links.peer_messages import (
     Message,
     PeerIdentity,
-    make_hello,
-    read_identity,
-    pack,
     compute_proof,
-    verify_proof,
+    make_hello,
     make_refusal,
+    pack,
+    read_identity,
     unpack,
+    verify_proof,
 )
 from marjoramwharf.links.thrift_types.peer import ttypes
 from marjoramwharf.logs import part_logger
--- a/src/marjoramwharf/links/resilient_store.py
+++ b/src/marjoramwharf/links/resilient_store.py
@@ -83,7 +83,7 @@
         self.counters = StoreCounters()
         self._store = store
         self._clock = clock
-        self._source = rng or random.Random()
+        self._rng = rng or random.Random()
         self._budget = StoreBudget(settings, now_s=clock())
         self._health_tracker = HealthTracker(
             timeout_s=settings.timeout_ms / 1000
@@ -179,7 +179,7 @@
         backoff = Backoff(
             initial_s=_INITIAL_BACKOFF_S,
             max_s=_MAX_BACKOFF_S,
-            rng=self._source,
+            rng=self._rng,
         )
         for _ in range(_READ_ATTEMPTS - 1):
             try:
--- a/src/marjoramwharf/links/store_health.py
+++ b/src/marjoramwharf/links/store_health.py
@@ -48,7 +48,7 @@
         return StoreHealth.SLOW if self._is_slow else StoreHealth.HEALTHY
 
     def record_answer(self, took_s: float) -> None:
-        """Record a call that the store answered within ``took_s`` seconds."""
+        """Record a call that the store answered after ``took_s`` seconds."""
         self._consecutive_failures_count = 0
         self._consecutive_answers_count += 1
         if self._consecutive_answers_count >= _ANSWERS_UNTIL_UP:
--- a/src/marjoramwharf/links/store_relay.py
+++ b/src/marjoramwharf/links/store_relay.py
@@ -27,9 +27,9 @@
     decode_reply,
     encode_call,
     encode_reply,
-    make_failure,
-    get_outcome,
     execute_call,
+    get_outcome,
+    make_failure,
 )
 from marjoramwharf.links.store_reachability import StoreReachability
 from marjoramwharf.links.tcp import open_stream
--- a/tests/links/test_http.py
+++ b/tests/links/test_http.py
@@ -17,8 +17,8 @@
 )
 from marjoramwharf.links.http_server import (
     HttpLimits,
-    HttpResponse,
     HttpRequest,
+    HttpResponse,
     HttpServer,
     open_listener,
 )
--- a/tests/links/test_members.py
+++ b/tests/links/test_members.py
@@ -19,8 +19,8 @@
     MemberView,
     Registration,
 )
-from marjoramwharf.links.store import Write
 from marjoramwharf.links.resilient_store import ResilientStore
+from marjoramwharf.links.store import Write
 from marjoramwharf.settings import StoreSettings
 from standins.kv_state import KeyValueState
 from standins.memory_store import MemoryStore
--- a/tests/links/test_resilient_store.py
+++ b/tests/links/test_resilient_store.py
@@ -14,8 +14,8 @@
     StoreBudgetSpent,
     StoreUnavailable,
 )
-from marjoramwharf.links.store import Guard, Urgency, Write
 from marjoramwharf.links.resilient_store import ResilientStore
+from marjoramwharf.links.store import Guard, Urgency, Write
 from marjoramwharf.links.store_health import StoreHealth
 from marjoramwharf.settings import StoreSettings
 from standins.memory_store import MemoryStore
