--- a/src/marjoramwharf/links/http_server.py
+++ b/src/marjoramwharf/links/http_server.py
@@ -24,8 +24,8 @@
 _CHUNK_BYTES = 65_536
 _BACKLOG_COUNT = 512
 _DRAIN_IDLE_TIMEOUT_S = 1.0
-_REQUEST_TIMEOUT = 408
-_CONTENT_TOO_LARGE = 413
+_STATUS_REQUEST_TIMEOUT = 408
+_STATUS_CONTENT_TOO_LARGE = 413
 
 HeaderMap = Mapping[str, str]
 
@@ -153,9 +153,9 @@
                     limit_bytes=self.limits.body_bytes,
                 )
         except BodyTooLarge as failure:
-            raise _RequestRejected(_CONTENT_TOO_LARGE) from failure
+            raise _RequestRejected(_STATUS_CONTENT_TOO_LARGE) from failure
         if body is None:
-            raise _RequestRejected(_REQUEST_TIMEOUT)
+            raise _RequestRejected(_STATUS_REQUEST_TIMEOUT)
         return HttpRequest(
             method=head.method.decode('ascii'),
             target=head.target.decode('latin-1'),
--- a/src/marjoramwharf/log_output.py
+++ b/src/marjoramwharf/log_output.py
@@ -1,8 +1,8 @@
 """Rate-limited, non-blocking output of log lines.
 
 A line over the rate limit, or for which a pipe has no space, is dropped and
-counted; the count is logged with the next line that can be written. Warnings
-and errors have a rate limit of their own.
+counted; the count is logged before the next line that can be written.
+Warnings and errors have a rate limit of their own.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
     _urgent_bucket: _LineBucket = field(default_factory=_LineBucket)
 
     def __post_init__(self) -> None:
-        """Set the descriptor non-blocking, so that a full pipe can't stall."""
+        """Make the descriptor non-blocking: writes fail if a pipe is full."""
         os.set_blocking(self.descriptor, False)
 
     def debug(self, line: str) -> None:
