--- a/src/marjoramwharf/cells/cell.py
+++ b/src/marjoramwharf/cells/cell.py
@@ -26,7 +26,7 @@
 from marjoramwharf.cells.run_mover import RunMover
 from marjoramwharf.cells.worker_registry import WorkerRegistry
 from marjoramwharf.ids import JobId, TaskId, WorkerId
-from marjoramwharf.links.follower import Follower
+from marjoramwharf.links.prefix_watcher import PrefixWatcher
 from marjoramwharf.logs import part_logger
 from marjoramwharf.scheduling.fleet import WorkerState
 from marjoramwharf.scheduling.interference import InterferenceModel
@@ -168,16 +168,16 @@
             jobs=len(self.job_table.jobs),
             took_s=round(boot_s() - began_s, 3),
         )
-        inbox = Follower(
+        inbox = PrefixWatcher(
             store,
             inbox_prefix(self.ownership.cell),
             self._inbox.apply,
         )
-        workers = Follower(
+        workers = PrefixWatcher(
             store,
             self.worker_registry.prefix,
             self.worker_registry.apply,
-            collecting_s=_HEARTBEAT_COLLECTION_S,
+            batch_delay_s=_HEARTBEAT_COLLECTION_S,
         )
         async with trio.open_nursery() as nursery:
             self.worker_registry.attach(nursery)
--- a/src/marjoramwharf/cells/progress_writer.py
+++ b/src/marjoramwharf/cells/progress_writer.py
@@ -111,7 +111,7 @@
             await trio.sleep(0.01)
 
     async def _run_committer(self) -> None:
-        pauses = Backoff(first_s=_INITIAL_PAUSE_S, limit_s=_MAX_PAUSE_S)
+        pauses = Backoff(initial_s=_INITIAL_PAUSE_S, max_s=_MAX_PAUSE_S)
         while True:
             group = self._next_group()
             if not group:
@@ -125,7 +125,7 @@
             finally:
                 self._in_flight -= job_ids
             if has_failed:
-                await trio.sleep(pauses.next_s())
+                await trio.sleep(pauses.next_wait_s())
             else:
                 pauses.reset()
 
--- a/src/marjoramwharf/links/peer_messages.py
+++ b/src/marjoramwharf/links/peer_messages.py
@@ -1,4 +1,4 @@
-"""The messages between entries, their envelopes and the proof in Hello."""
+"""The messages between entries, their envelopes and their authentication."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerIdentity:
-    """Who is at the other end of a connection."""
+    """Identity of a process at one end of a connection."""
 
     entry_id: EntryId
     incarnation: Incarnation
@@ -63,39 +63,44 @@
 
 
 def unpack(envelope: ttypes.Envelope) -> Message:
-    """Return the one message of an envelope; raises ``BadFrame``."""
+    """Return the message of an envelope.
+
+    Raises ``BadFrame`` unless it contains exactly one.
+    """
     found = [
         getattr(envelope, name)
         for name in _FIELDS.values()
         if getattr(envelope, name) is not None
     ]
     if len(found) != 1:
-        raise BadFrame(message=f'{len(found)} messages in one envelope')
+        raise BadFrame(
+            message=f'{len(found)} messages in an envelope instead of one'
+        )
     return found[0]
 
 
-def refusal(failure: Failure) -> Message:
-    """Return the message that carries a failure."""
+def make_refusal(failure: Failure) -> Message:
+    """Return the refusal message that reports a failure to a peer."""
     return ttypes.Refusal(
         reason=failure.reason.value,
         message=failure.message,
     )
 
 
-def refused(message: Message) -> PeerRefused:
-    """Return the failure that a refusal carries."""
-    known = {reason.value for reason in Reason}
-    code = message.reason if message.reason in known else 'unknown reason'
+def decode_refusal(message: Message) -> PeerRefused:
+    """Return the failure that a refusal message reports."""
+    valid_codes = {reason.value for reason in Reason}
+    code = message.reason if message.reason in valid_codes else 'unknown reason'
     return PeerRefused(message=f'{code}: {message.message}')
 
 
-def hello(
+def make_hello(
     identity: PeerIdentity,
     *,
     nonce: str,
     proof: str,
 ) -> Message:
-    """Return a Hello of this process."""
+    """Return a Hello message with the identity of this process."""
     return ttypes.Hello(
         entry_id=identity.entry_id,
         incarnation=identity.incarnation,
@@ -106,8 +111,8 @@
     )
 
 
-def identity_of(message: Message) -> PeerIdentity:
-    """Return the identity that a Hello states."""
+def read_identity(message: Message) -> PeerIdentity:
+    """Return the identity that a Hello claims."""
     return PeerIdentity(
         entry_id=EntryId(message.entry_id),
         incarnation=Incarnation(message.incarnation),
@@ -115,15 +120,16 @@
     )
 
 
-def prove(
+def compute_proof(
     secret: str,
     role: str,
     identity: PeerIdentity,
     nonces: tuple[str, str],
 ) -> str:
-    """Return the HMAC-SHA-256 of an identity over the nonces of both sides.
+    """Return the HMAC-SHA-256 of an identity and the nonces of both sides.
 
-    ``role`` (client or server) keeps a proof from being reflected.
+    ``role`` (client or server) is included so that a peer can't send a proof
+    back to its sender as its own.
     """
     parts = (
         role,
@@ -133,13 +139,16 @@
         str(PROTOCOL_VERSION),
         *nonces,
     )
-    # Each part is prefixed with its length, so that no two lists are equal.
+    # Each part has its length as a prefix, so that two different lists of
+    # parts never give the same text.
     text = ''.join(f'{len(part)}:{part}' for part in parts)
     return hmac.new(secret.encode(), text.encode(), 'sha256').hexdigest()
 
 
-def proves(message: Message, secret: str, role: str, nonces: Any) -> bool:
-    """Check version and proof of a Hello, in constant time."""
-    expected = prove(secret, role, identity_of(message), nonces)
-    is_proved = hmac.compare_digest(expected.encode(), message.proof.encode())
-    return is_proved and message.protocol_version == PROTOCOL_VERSION
+def verify_proof(message: Message, secret: str, role: str, nonces: Any) -> bool:
+    """Check the version and, in constant time, the proof of a Hello."""
+    expected = compute_proof(secret, role, read_identity(message), nonces)
+    is_proof_valid = hmac.compare_digest(
+        expected.encode(), message.proof.encode()
+    )
+    return is_proof_valid and message.protocol_version == PROTOCOL_VERSION
--- /dev/null
+++ b/src/marjoramwharf/links/prefix_watcher.py
@@ -0,0 +1,95 @@
+"""Watches the keys below a prefix of a polling store.
+
+A watcher first reads the prefix, then polls for changes. It reads the prefix
+again if the store has lost the history, and retries failed calls, so that its
+handler eventually sees the latest value of every key.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+
+import trio
+
+from marjoramwharf.errors import Failure, HistoryLost
+from marjoramwharf.links.backoff import Backoff
+from marjoramwharf.links.store import PollingStore, StoreEvent, WatchBatch
+from marjoramwharf.logs import part_logger
+
+_LOG = part_logger('store')
+_INITIAL_BACKOFF_S = 0.05
+_MAX_BACKOFF_S = 0.5
+
+BatchHandler = Callable[[WatchBatch], Awaitable[None]]
+
+
+@dataclass(slots=True)
+class PrefixWatcher:
+    """Passes the changes below a prefix to a handler.
+
+    ``wait_ms`` is the longest wait of a poll; it bounds the time until a dead
+    connection is noticed. ``batch_delay_s`` is the pause before the next poll,
+    during which changes accumulate. Without it, many writers would cause one
+    poll for each change.
+    """
+
+    store: PollingStore
+    prefix: str
+    apply: BatchHandler
+    wait_ms: int = 1_000
+    batch_delay_s: float = 0
+    _revision: int | None = None
+
+    async def run(self) -> None:
+        """Watch the prefix until cancelled."""
+        backoff = Backoff(
+            initial_s=_INITIAL_BACKOFF_S,
+            max_s=_MAX_BACKOFF_S,
+            rng=random.Random(),
+        )
+        is_failing = False
+        while True:
+            try:
+                await self.poll_once()
+            except HistoryLost:
+                _LOG.info('watch history lost', prefix=self.prefix)
+                self._revision = None
+                continue
+            except Failure as failure:
+                if not is_failing:
+                    _LOG.warning(
+                        'watch failed',
+                        prefix=self.prefix,
+                        error=str(failure),
+                    )
+                is_failing = True
+                await trio.sleep(backoff.next_wait_s())
+                continue
+            if is_failing:
+                _LOG.info('watch is back', prefix=self.prefix)
+            is_failing = False
+            backoff.reset()
+
+    async def poll_once(self) -> None:
+        """Make one call and pass its changes to the handler."""
+        if self._revision is None:
+            batch = await self._read_all()
+        else:
+            batch = await self.store.poll(
+                self.prefix,
+                after_revision=self._revision,
+                wait_ms=self.wait_ms,
+            )
+        if batch.events or batch.restarted:
+            await self.apply(batch)
+        self._revision = batch.revision
+        await trio.sleep(self.batch_delay_s)
+
+    async def _read_all(self) -> WatchBatch:
+        snapshot = await self.store.read_prefix(self.prefix)
+        events = tuple(
+            StoreEvent(stored.key, stored) for stored in snapshot.found
+        )
+        return WatchBatch(snapshot.revision, events, restarted=True)
--- a/tests/cells/cluster.py
+++ b/tests/cells/cluster.py
@@ -27,7 +27,7 @@
 )
 from marjoramwharf.errors import BadListing
 from marjoramwharf.ids import DataCentreId, JobId, TaskId, WorkerId
-from marjoramwharf.links.follower import Follower
+from marjoramwharf.links.prefix_watcher import PrefixWatcher
 from marjoramwharf.links.store import Guard, Write
 from marjoramwharf.scheduling.fleet import Resources, WorkerListing, WorkerState
 from marjoramwharf.scheduling.policy import Configuration, QueuePolicy
@@ -216,7 +216,7 @@
     async def _run_candidate(self, candidate: Candidate) -> None:
         with candidate.scope:
             async with trio.open_nursery() as nursery:
-                follower = Follower(
+                follower = PrefixWatcher(
                     self.store,
                     OWNERS_PREFIX,
                     candidate.view.apply,
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -19,7 +19,7 @@
 import msgspec
 import trio
 
-from marjoramwharf.links.http_client import LeanClient
+from marjoramwharf.links.http_client import HttpClient
 from tools.deployments import DEPLOYMENTS
 from tools.fleet import OPERATOR_TOKEN, Fleet, WorkerShape, stopping, terminate
 from tools.history import (
@@ -166,7 +166,7 @@
 ) -> tuple[dict[str, Any], bool]:
     balancer = Balancer(fleet.entries)
     demo = Demo(fleet, http, balancer)
-    lean = LeanClient()
+    lean = HttpClient()
     callers = Callers(
         lean,
         balancer,
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -22,7 +22,7 @@
 import httpx
 import trio
 
-from marjoramwharf.links.http_client import LeanClient
+from marjoramwharf.links.http_client import HttpClient
 from tools import report
 from tools.deployments import DEPLOYMENTS
 from tools.faults import FAULTS, Scene
@@ -176,7 +176,7 @@
     callers = _callers(scene, balancer, plan.timeout_ms)
     jobs = JobLoad(http, balancer)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(balancer.poll, LeanClient())
+        nursery.start_soon(balancer.poll, HttpClient())
         await _declare_service(fleet, http)
         await trio.sleep(_SETTLE_S)
         before = await _store_counters(fleet, http)
@@ -209,7 +209,7 @@
     timeout_ms: int,
 ) -> Callers:
     return Callers(
-        LeanClient(),
+        HttpClient(),
         balancer,
         service=scene.fleet.deployment.service,
         timeout_ms=timeout_ms,
