--- a/src/marjoramwharf/cells/place.py
+++ b/src/marjoramwharf/cells/place.py
@@ -1,7 +1,7 @@
 """Where an entry runs, and the bounds that hold there.
 
-The values come from the settings of the process; ``platform.boot`` reads
-them on the users' platform.
+The values come from the settings of the process;
+``platform.settings_file`` reads them on the users' platform.
 """
 
 from __future__ import annotations
--- a/src/marjoramwharf/platform/advice_calls.py
+++ b/src/marjoramwharf/platform/advice_client.py
@@ -27,7 +27,7 @@
     valid_ms: int = 0
 
 
-class PlatformAdviceCalls:
+class PlatformAdviceClient:
     """Calls over the connections of one client."""
 
     def __init__(self, client: LeanClient, address: str) -> None:
--- a/src/marjoramwharf/platform/front.py
+++ b/src/marjoramwharf/platform/job_api.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Front:
+class JobApi:
     """Translates HTTP requests of callers to the intake of a cell."""
 
     intake: Intake
@@ -151,7 +151,7 @@
         except Failure as failure:
             _LOG.info('count not read', queue=queue.name, error=str(failure))
             return _UNREAD
-        return HttpReply(200, job_bodies.encode_waiting(count))
+        return HttpReply(200, job_bodies.encode_waiting_count(count))
 
 
 def _deadline_s(request: HttpRequest, queue: QueuePolicy) -> float:
@@ -163,7 +163,7 @@
     return request.arrived_s + max(0, allowed_ms / _MS_PER_S - _RETURN_S)
 
 
-async def answer_ready(
+async def answer_readiness(
     is_ready: Callable[[], bool],
     _request: HttpRequest,
 ) -> HttpReply:
--- a/src/marjoramwharf/platform/job_bodies.py
+++ b/src/marjoramwharf/platform/job_bodies.py
@@ -100,7 +100,7 @@
     return _STATES[state]
 
 
-def encode_waiting(count: int) -> bytes:
+def encode_waiting_count(count: int) -> bytes:
     """Return the body that tells how many jobs have not begun."""
     return b'{"Waiting":%d}' % count
 
--- a/src/marjoramwharf/platform/boot.py
+++ b/src/marjoramwharf/platform/settings_file.py
@@ -35,16 +35,16 @@
     return pathlib.Path(path)
 
 
-def load_place(path: pathlib.Path) -> EntryPlace:
+def load_instance_settings(path: pathlib.Path) -> EntryPlace:
     """Read the settings of an entry from a file."""
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as failure:
         raise BadSettings(message=f'{path}: {failure}') from failure
-    return parse_place(text, origin=str(path))
+    return parse_instance_settings(text, origin=str(path))
 
 
-def parse_place(text: str, *, origin: str) -> EntryPlace:
+def parse_instance_settings(text: str, *, origin: str) -> EntryPlace:
     """Read the settings of an entry from a text."""
     fields = _split(text)
 
--- a/src/marjoramwharf/platform/worker_calls.py
+++ b/src/marjoramwharf/platform/worker_client.py
@@ -125,7 +125,7 @@
     born: int = 0
 
 
-class PlatformWorkerCalls:
+class PlatformWorkerClient:
     """Calls over the connections of one client."""
 
     def __init__(self, client: LeanClient) -> None:
--- a/src/marjoramwharf/platform/worker_entries.py
+++ b/src/marjoramwharf/platform/worker_listings.py
@@ -57,7 +57,7 @@
     born: int = 0
 
 
-def worker_id_of(key: str) -> WorkerId:
+def worker_id_from_key(key: str) -> WorkerId:
     """Return the id of the worker that a key is the entry of."""
     return WorkerId(key.removeprefix(WORKERS_PREFIX))
 
@@ -71,7 +71,7 @@
     except (DecodeError, ValueError) as failure:
         raise BadListing(message=f'{key}: {failure}') from failure
     return WorkerListing(
-        worker_id=worker_id_of(key),
+        worker_id=worker_id_from_key(key),
         service=entry.service,
         host=host,
         port=port,
--- a/src/marjoramwharf/programs/_check_settings.py
+++ b/src/marjoramwharf/programs/_check_settings.py
@@ -13,7 +13,7 @@
 
 import cappa
 
-from marjoramwharf.platform import boot
+from marjoramwharf.platform import settings_file
 from marjoramwharf.programs._command_line import run_command
 
 
@@ -29,7 +29,7 @@
 
     def run(self) -> int:
         """Print the place that the file describes."""
-        place = boot.load_place(self.check)
+        place = settings_file.load_instance_settings(self.check)
         sys.stdout.write(
             f'{place.entry_id} in {place.data_centre}: front {place.front}, '
             f'peers {place.peer_ports}, store {place.store_address}, '
--- a/src/marjoramwharf/programs/cells.py
+++ b/src/marjoramwharf/programs/cells.py
@@ -30,7 +30,7 @@
 from marjoramwharf.links.http_client import LeanClient
 from marjoramwharf.links.store import PollingStore
 from marjoramwharf.platform.kv_store import KvStore
-from marjoramwharf.platform.worker_entries import (
+from marjoramwharf.platform.worker_listings import (
     WORKERS_PREFIX,
     decode_listing,
 )
--- a/src/marjoramwharf/programs/platform_entry.py
+++ b/src/marjoramwharf/programs/platform_entry.py
@@ -44,16 +44,16 @@
 from marjoramwharf.links.thrift_types.peer import ttypes
 from marjoramwharf.log_output import BoundedOutput
 from marjoramwharf.logs import configure_logs, part_logger
-from marjoramwharf.platform import boot
-from marjoramwharf.platform.advice_calls import PlatformAdviceCalls
-from marjoramwharf.platform.front import Front, answer_ready
+from marjoramwharf.platform import settings_file
+from marjoramwharf.platform.advice_client import PlatformAdviceClient
+from marjoramwharf.platform.job_api import JobApi, answer_readiness
 from marjoramwharf.platform.kv_store import KvStore
 from marjoramwharf.platform.operator_config import (
     CONFIG_KEY,
     decode_configuration,
 )
-from marjoramwharf.platform.worker_calls import PlatformWorkerCalls
-from marjoramwharf.platform.worker_entries import (
+from marjoramwharf.platform.worker_client import PlatformWorkerClient
+from marjoramwharf.platform.worker_listings import (
     WORKERS_PREFIX,
     decode_listing,
 )
@@ -177,7 +177,7 @@
             lambda: self.store.is_reachable,
             self.counters,
         )
-        handler = Front(intake, lambda: self.config.current)
+        handler = JobApi(intake, lambda: self.config.current)
         self.front = HttpServer(handler.handle)
 
     @property
@@ -248,7 +248,7 @@
             ),
             parts=CellParts(
                 store=self.store,
-                calls=PlatformWorkerCalls(self.client),
+                calls=PlatformWorkerClient(self.client),
                 configuration=lambda: self.config.current,
                 workers_prefix=WORKERS_PREFIX,
                 decode_listing=decode_listing,
@@ -281,9 +281,9 @@
     def _direct_store(self, client: LeanClient, timeout_s: float) -> KvStore:
         return KvStore(client, self.place.store_address, timeout_s=timeout_s)
 
-    def _advice(self) -> PlatformAdviceCalls | None:
+    def _advice(self) -> PlatformAdviceClient | None:
         address = self.place.advice_address
-        return PlatformAdviceCalls(self.client, address) if address else None
+        return PlatformAdviceClient(self.client, address) if address else None
 
     async def _follow(self, prefix: str, apply: Apply, wait_ms: int) -> None:
         await Follower(self.store, prefix, apply, wait_ms).run()
@@ -294,7 +294,7 @@
             listener = await open_listener(*place.front)
             nursery.start_soon(self.front.serve, listener)
         if place.ready is not None:
-            ready = HttpServer(partial(answer_ready, self.is_ready))
+            ready = HttpServer(partial(answer_readiness, self.is_ready))
             listener = await open_listener(*place.ready)
             nursery.start_soon(ready.serve, listener)
         await self._listen_for_metrics(nursery)
@@ -371,7 +371,9 @@
     output = BoundedOutput(sys.stdout.fileno())
     configure_logs(as_json=True, output=output)
     try:
-        place = boot.load_place(boot.settings_path())
+        place = settings_file.load_instance_settings(
+            settings_file.settings_path()
+        )
     except BadSettings as failure:
         _LOG.error('settings refused', error=str(failure))
         sys.exit(2)
--- a/standins/_worker_replies.py
+++ b/standins/_worker_replies.py
@@ -21,7 +21,7 @@
 _NO_DEMAND = Demand(cpu_millicores=0, memory_mb=0)
 
 
-def signed(answer: CallAnswer) -> Response:
+def call_response(answer: CallAnswer) -> Response:
     """Return an answer with its call id and digest."""
     response = Response(
         answer.body,
@@ -49,7 +49,7 @@
     )
 
 
-def unknown_task(task_id: str, fence: tuple[int, int]) -> TaskReport:
+def unknown_task_report(task_id: str, fence: tuple[int, int]) -> TaskReport:
     """Report an attempt that never ran."""
     return TaskReport(
         TaskId(task_id),
@@ -60,12 +60,12 @@
     )
 
 
-async def request_body() -> bytes:
+async def read_request_body() -> bytes:
     """Return the body of the request that is being handled."""
     return b''.join([part async for part in request.body])
 
 
-async def cut_body(
+async def truncated_body(
     half: bytes,
     cut: Callable[[], Awaitable[None]],
 ) -> AsyncIterator[bytes]:
--- a/standins/kv_state.py
+++ b/standins/kv_state.py
@@ -18,7 +18,7 @@
 @dataclass(slots=True)
 class _Lease:
     ttl_s: float
-    lapses_at_s: float
+    expires_at_s: float
     keys: set[str] = field(default_factory=set)
 
 
@@ -35,7 +35,7 @@
         self._lease_of_key: dict[str, LeaseId] = {}
         self._next_lease = 1
 
-    def below(self, prefix: str) -> tuple[StoredValue, ...]:
+    def values_below(self, prefix: str) -> tuple[StoredValue, ...]:
         """Return all values below a prefix, in key order."""
         return tuple(
             self.stored[key]
@@ -43,7 +43,7 @@
             if key.startswith(prefix)
         )
 
-    def holds(self, guards: Sequence[Guard]) -> bool:
+    def guards_hold(self, guards: Sequence[Guard]) -> bool:
         """Tell whether every guard has its modification revision."""
         return all(
             self._revision_of(guard.key) == guard.mod_revision
@@ -102,7 +102,7 @@
         held = self._leases.get(lease)
         if held is None:
             return 0
-        held.lapses_at_s = now_s + held.ttl_s
+        held.expires_at_s = now_s + held.ttl_s
         return held.ttl_s
 
     def revoke_lease(self, lease: LeaseId) -> None:
@@ -111,10 +111,10 @@
         if held is not None and held.keys:
             self.apply([Write(key, None) for key in sorted(held.keys)])
 
-    def lapse_leases(self, now_s: float) -> None:
+    def expire_due_leases(self, now_s: float) -> None:
         """End the leases whose time is over."""
         for lease, held in tuple(self._leases.items()):
-            if held.lapses_at_s <= now_s:
+            if held.expires_at_s <= now_s:
                 self.revoke_lease(lease)
 
     def expire_all_leases(self) -> None:
--- a/standins/memory_store.py
+++ b/standins/memory_store.py
@@ -55,7 +55,9 @@
         """Return all values below a prefix."""
         await self._enter()
         self.reads_count += 1
-        return PrefixReading(self.state.revision, self.state.below(prefix))
+        return PrefixReading(
+            self.state.revision, self.state.values_below(prefix)
+        )
 
     async def commit(
         self,
@@ -68,7 +70,7 @@
         await self._enter()
         self.writes_count += 1
         outcome: Committed | Conflict = Conflict()
-        if self.state.holds(guards):
+        if self.state.guards_hold(guards):
             outcome = Committed(self._apply(writes))
         if self.answers_to_lose:
             self.answers_to_lose -= 1
@@ -121,7 +123,7 @@
         if self.is_down:
             raise StoreUnavailable(message='the store is down')
         before = self.state.revision
-        self.state.lapse_leases(trio.current_time())
+        self.state.expire_due_leases(trio.current_time())
         if self.state.revision != before:
             self._wake()
 
--- a/standins/platform_wire.py
+++ b/standins/platform_endpoints.py
@@ -27,7 +27,7 @@
 from marjoramwharf.links.http_server import HttpReply, HttpRequest
 from marjoramwharf.links.store import Guard, StoredValue, StoreEvent, Write
 from standins.kv_state import KeyValueState
-from standins.run_worker import RunWorker
+from standins.simulated_worker import SimulatedWorker
 
 _MS_PER_S = 1_000
 _PAGE_COUNT = 500
@@ -47,7 +47,7 @@
 
 
 @dataclass
-class StoreWire:
+class StoreEndpoint:
     """Serves a ``KeyValueState``.
 
     ``refuse`` answers every call with 503. Of the coming writes,
@@ -62,7 +62,7 @@
         """Answer one call."""
         if self.refuse:
             return json_reply({}, 503)
-        self.state.lapse_leases(trio.current_time())
+        self.state.expire_due_leases(trio.current_time())
         parts = urlsplit(request.target)
         query = {
             name: found[0] for name, found in parse_qs(parts.query).items()
@@ -86,7 +86,7 @@
         if call == 'GET /kv-range':
             found = [
                 stored
-                for stored in self.state.below(query['Prefix'])
+                for stored in self.state.values_below(query['Prefix'])
                 if stored.key > query.get('After', '')
             ]
             return json_reply(
@@ -121,7 +121,7 @@
         guards = [
             Guard(row['Key'], row['Revision']) for row in body.get('Expect', ())
         ]
-        if not self.state.holds(guards):
+        if not self.state.guards_hold(guards):
             found = [
                 self._item(self.state.stored[guard.key])
                 for guard in guards
@@ -148,7 +148,7 @@
         if after < self.state.compacted_revision:
             return json_reply({}, 410)
         while True:
-            self.state.lapse_leases(trio.current_time())
+            self.state.expire_due_leases(trio.current_time())
             found = self.state.changes_after(after, query['Prefix'])
             if found or trio.current_time() > until_s:
                 events = [
@@ -177,15 +177,15 @@
 
 
 @dataclass
-class WorkerWire:
-    """Serves a ``RunWorker``, and its starts at ``/starts`` for checks.
+class WorkerEndpoint:
+    """Serves a ``SimulatedWorker``, and its starts at ``/starts`` for checks.
 
-    Of the coming starts, ``starts_to_lose`` are carried out on a connection
+    Of the coming starts, ``start_answers_to_lose`` are carried out on a connection
     that is then cut.
     """
 
-    worker: RunWorker
-    starts_to_lose: int = 0
+    worker: SimulatedWorker
+    start_answers_to_lose: int = 0
 
     async def handle(self, request: HttpRequest) -> HttpReply:
         """Answer one call."""
@@ -204,8 +204,8 @@
         if order is None:
             return json_reply({}, 404)
         answer = order(body)
-        if path == '/run-start' and self.starts_to_lose:
-            self.starts_to_lose -= 1
+        if path == '/run-start' and self.start_answers_to_lose:
+            self.start_answers_to_lose -= 1
             raise trio.BrokenResourceError
         reason = _REASONS.get(answer.outcome)
         if reason is None:
--- a/standins/platform_process.py
+++ b/standins/platform_process.py
@@ -16,8 +16,8 @@
 
 from marjoramwharf.links.http_server import HttpServer, open_listener
 from marjoramwharf.links.store import Write
-from standins.platform_wire import StoreWire, WorkerWire
-from standins.run_worker import RunWorker
+from standins.platform_endpoints import StoreEndpoint, WorkerEndpoint
+from standins.simulated_worker import SimulatedWorker
 
 HOST = '127.0.0.1'
 QUEUE_HOST = 'jobs.example'
@@ -79,7 +79,7 @@
     return json.dumps(body).encode()
 
 
-def worker_entry(port: int, rack: str) -> bytes:
+def worker_listing(port: int, rack: str) -> bytes:
     """Return what a worker writes of itself."""
     body = {
         'Service': _SERVICE,
@@ -96,15 +96,15 @@
 
 async def serve_platform(port: int, workers_count: int) -> None:
     """Serve store and workers until cancelled."""
-    store = StoreWire()
+    store = StoreEndpoint()
     store.state.apply([Write('op/config', configuration(1))])
     async with trio.open_nursery() as nursery:
         for number in range(1, workers_count + 1):
-            wire = WorkerWire(RunWorker(trio.current_time()))
+            wire = WorkerEndpoint(SimulatedWorker(trio.current_time()))
             listener = await open_listener(HOST, port + number)
             nursery.start_soon(HttpServer(wire.handle).serve, listener)
             rack = 'r1' if number % 2 else 'r2'
-            entry = worker_entry(port + number, rack)
+            entry = worker_listing(port + number, rack)
             store.state.apply([Write(f'servers/w{number}', entry)])
         listener = await open_listener(HOST, port)
         nursery.start_soon(HttpServer(store.handle).serve, listener)
--- a/standins/polling_store.py
+++ b/standins/polling_store.py
@@ -33,7 +33,7 @@
 
     Faults: ``is_down`` refuses every call, ``answers_to_lose`` coming commits
     are applied without an answer, and ``commits_to_delay`` coming commits get
-    no answer and wait in ``late_commits`` until they are called.
+    no answer and wait in ``delayed_commits`` until they are called.
     """
 
     def __init__(self, state: KeyValueState | None = None) -> None:
@@ -42,7 +42,7 @@
         self.is_down = False
         self.answers_to_lose = 0
         self.commits_to_delay = 0
-        self.late_commits: list[Callable[[], Committed | Conflict]] = []
+        self.delayed_commits: list[Callable[[], Committed | Conflict]] = []
         self.commits_count = 0
         self.reads_count = 0
 
@@ -56,7 +56,9 @@
         """Return all values below a prefix."""
         await self._enter()
         self.reads_count += 1
-        return PrefixReading(self.state.revision, self.state.below(prefix))
+        return PrefixReading(
+            self.state.revision, self.state.values_below(prefix)
+        )
 
     async def commit(
         self,
@@ -69,7 +71,7 @@
         apply = partial(self._apply, tuple(guards), tuple(writes))
         if self.commits_to_delay:
             self.commits_to_delay -= 1
-            self.late_commits.append(apply)
+            self.delayed_commits.append(apply)
             raise StoreAnswerLost(message='not carried out yet')
         outcome = apply()
         if self.answers_to_lose:
@@ -117,14 +119,14 @@
         await trio.lowlevel.checkpoint()
         if self.is_down:
             raise StoreUnavailable(message='the store is down')
-        self.state.lapse_leases(trio.current_time())
+        self.state.expire_due_leases(trio.current_time())
 
     def _apply(
         self,
         guards: Sequence[Guard],
         writes: Sequence[Write],
     ) -> Committed | Conflict:
-        if not self.state.holds(guards):
+        if not self.state.guards_hold(guards):
             return Conflict(
                 tuple(
                     self.state.stored[guard.key]
--- a/standins/run_worker.py
+++ b/standins/simulated_worker.py
@@ -43,11 +43,11 @@
 
 
 @dataclass(slots=True)
-class RunWorker:
+class SimulatedWorker:
     """One incarnation of a worker.
 
     ``starts`` keeps every start that was carried out, ``start_times`` when,
-    and ``noted_done`` the tasks whose end as done was noted, with the time of
+    and ``acknowledged_completions`` the tasks whose end as done was noted, with the time of
     that end; all are for checks.
     ``capacity`` is the number of runs that it takes at a time.
     """
@@ -60,7 +60,9 @@
     running: dict[TaskId, _Run] = field(default_factory=dict)
     starts: list[tuple[TaskId, int, int]] = field(default_factory=list)
     start_times: list[tuple[TaskId, float]] = field(default_factory=list)
-    noted_done: list[tuple[TaskId, float]] = field(default_factory=list)
+    acknowledged_completions: list[tuple[TaskId, float]] = field(
+        default_factory=list
+    )
     _ended: list[EndReport] = field(default_factory=list)
     _floor: dict[TaskId, int] = field(default_factory=dict)
     _next_end: int = 1
@@ -158,7 +160,7 @@
         )
 
     @property
-    def has_ends(self) -> bool:
+    def has_unacknowledged_ends(self) -> bool:
         """Whether ends wait to be noted."""
         return bool(self._ended)
 
@@ -166,7 +168,7 @@
         for ended in self._ended:
             if ended.number <= noted_end and ended.how is RunEnd.DONE:
                 ended_s = self._end_times[ended.number]
-                self.noted_done.append((ended.task, ended_s))
+                self.acknowledged_completions.append((ended.task, ended_s))
         self._ended = [
             ended for ended in self._ended if ended.number > noted_end
         ]
--- a/standins/run_worker_calls.py
+++ b/standins/simulated_worker_client.py
@@ -20,7 +20,7 @@
     WorkerAddress,
 )
 from marjoramwharf.ids import WorkerId
-from standins.run_worker import RunWorker
+from standins.simulated_worker import SimulatedWorker
 
 _MS_PER_S = 1_000
 _STEP_S = 0.01
@@ -29,23 +29,25 @@
 
 
 @dataclass
-class MemoryWorkerCalls:
-    """Implements ``WorkerCalls`` on a table of ``RunWorker``.
+class MemoryWorkerClient:
+    """Implements ``WorkerCalls`` on a table of ``SimulatedWorker``.
 
-    ``unreachable`` workers answer nothing. The next ``starts_to_lose`` starts
-    and ``holds_to_lose`` are carried out without an answer; the next
+    ``unreachable`` workers answer nothing. The next ``start_answers_to_lose`` starts
+    and ``hold_answers_to_lose`` are carried out without an answer; the next
     ``starts_to_repeat`` starts are carried out twice, as by a client that sends
     a call again; ``starts_to_delay`` starts wait in
-    ``late_orders`` until they are called.
+    ``delayed_orders`` until they are called.
     """
 
-    workers: dict[WorkerId, RunWorker]
+    workers: dict[WorkerId, SimulatedWorker]
     unreachable: set[WorkerId] = field(default_factory=set)
-    starts_to_lose: int = 0
+    start_answers_to_lose: int = 0
     starts_to_repeat: int = 0
-    holds_to_lose: int = 0
+    hold_answers_to_lose: int = 0
     starts_to_delay: int = 0
-    late_orders: list[Callable[[], OrderAnswer]] = field(default_factory=list)
+    delayed_orders: list[Callable[[], OrderAnswer]] = field(
+        default_factory=list
+    )
 
     async def start(
         self,
@@ -58,7 +60,7 @@
         carry_out = partial(self._start, worker.worker_id, order)
         if self.starts_to_delay:
             self.starts_to_delay -= 1
-            self.late_orders.append(carry_out)
+            self.delayed_orders.append(carry_out)
             await trio.sleep(timeout_s)
             return OrderAnswer(OrderOutcome.UNKNOWN)
         answer = await self._reach(worker.worker_id, carry_out, timeout_s)
@@ -66,8 +68,8 @@
             self.starts_to_repeat -= 1
             await trio.sleep(timeout_s)
             answer = carry_out()
-        if self.starts_to_lose:
-            self.starts_to_lose -= 1
+        if self.start_answers_to_lose:
+            self.start_answers_to_lose -= 1
             await trio.sleep(timeout_s)
             answer = None
         return answer or OrderAnswer(OrderOutcome.UNKNOWN)
@@ -120,8 +122,8 @@
         while True:
             look = partial(self._hold, worker.worker_id, order)
             report = await self._reach(worker.worker_id, look, timeout_s)
-            if report is not None and self.holds_to_lose:
-                self.holds_to_lose -= 1
+            if report is not None and self.hold_answers_to_lose:
+                self.hold_answers_to_lose -= 1
                 await trio.sleep(timeout_s)
                 report = None
             if report is None:
@@ -136,7 +138,7 @@
     def _hold(self, worker_id: WorkerId, order: HoldOrder) -> HoldReport:
         return self._worker(worker_id).hold(order, trio.current_time())
 
-    def _worker(self, worker_id: WorkerId) -> RunWorker:
+    def _worker(self, worker_id: WorkerId) -> SimulatedWorker:
         return self.workers[worker_id]
 
     async def _reach(
--- a/standins/store.py
+++ b/standins/store.py
@@ -89,11 +89,11 @@
         self.changed.set()
         self.changed = trio.Event()
 
-    async def lapse_leases(self) -> None:
+    async def expire_due_leases(self) -> None:
         """End the leases whose time is over, until cancelled."""
         while True:
             await trio.sleep(_LAPSE_CHECK_S)
-            self.state.lapse_leases(trio.current_time())
+            self.state.expire_due_leases(trio.current_time())
             self.wake()
 
     async def enter(self) -> dict[str, Any]:
@@ -102,7 +102,7 @@
         await trio.sleep(self.slow_s)
         if self.is_down:
             raise _RefusedError('etcdserver: no leader', 503)
-        self.state.lapse_leases(trio.current_time())
+        self.state.expire_due_leases(trio.current_time())
         return body
 
     async def answer_write(self, **fields: Any) -> dict[str, Any]:
@@ -173,7 +173,7 @@
         body = await self._enter_write()
         # The gateway leaves out fields with a zero value.
         outcome = {}
-        if self._state.holds(_guards(body)):
+        if self._state.guards_hold(_guards(body)):
             self._apply(body)
             outcome['succeeded'] = True
         return _json(await self._standin.answer_write(**outcome))
@@ -259,7 +259,7 @@
 
     @app.before_serving
     async def start_lapsing() -> None:  # noqa: WPS430
-        app.nursery.start_soon(standin.lapse_leases)
+        app.nursery.start_soon(standin.expire_due_leases)
 
     gateway = _Gateway(standin)
     app.post('/v3/kv/range')(gateway.kv_range)
@@ -286,7 +286,7 @@
 ) -> tuple[StoredValue, ...]:
     key = wire.decode(body['key']).decode()
     if 'range_end' in body:
-        return state.below(key)
+        return state.values_below(key)
     stored = state.stored.get(key)
     return () if stored is None else (stored,)
 
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -44,11 +44,11 @@
 )
 from standins._worker_replies import (
     as_json,
-    cut_body,
+    truncated_body,
     refusal_answer,
-    request_body,
-    signed,
-    unknown_task,
+    read_request_body,
+    call_response,
+    unknown_task_report,
 )
 from standins.worker_state import (
     CallRecord,
@@ -114,7 +114,7 @@
                 stream,  # type: ignore[arg-type]
             )
 
-    async def enter(self) -> Response | None:
+    async def apply_request_faults(self) -> Response | None:
         """Apply the link and a hang to a request that was received."""
         if request.path in {'/faults', '/record'}:
             return None
@@ -129,7 +129,7 @@
             await self._wait_for_hang()
         return None
 
-    async def leave(self, response: Response) -> Response:
+    async def apply_response_faults(self, response: Response) -> Response:
         """Apply the link to an answer."""
         response.headers[INCARNATION_HEADER] = self.state.incarnation
         if request.path in {'/faults', '/record'}:
@@ -148,7 +148,7 @@
 
     async def run(self, service: str) -> Response:
         """Run a call; it goes on if its connection breaks."""
-        body = await request_body()
+        body = await read_request_body()
         record = CallRecord(
             call_id=CallId(request.headers['X-Call-Id']),
             grant_id=GrantId(request.headers['X-Grant-Id']),
@@ -163,7 +163,7 @@
         )
         refusal = self.state.admit(record)
         if refusal is not None:
-            return signed(refusal_answer(record.call_id, refusal))
+            return call_response(refusal_answer(record.call_id, refusal))
         content_type = request.headers.get('Content-Type', '')
         running = _Running()
         self._running[record.call_id] = running
@@ -190,7 +190,7 @@
 
     async def lease(self) -> Response:
         """Fence, extend and report."""
-        body = await request_body()
+        body = await read_request_body()
         call = msgspec.json.decode(body, type=LeaseCall)
         running = self.state.lease(
             call.epoch,
@@ -215,7 +215,7 @@
 
     async def set_faults(self) -> Response:
         """Replace the faults; a call under a lifted hang goes on."""
-        body = await request_body()
+        body = await read_request_body()
         self.apply_faults(msgspec.json.decode(body, type=Faults))
         return as_json(self.state.faults)
 
@@ -258,12 +258,12 @@
         self._other_answer = answer
         draw = self.state.random.random
         if other and draw() < self.state.faults.cross_answers_share:
-            return signed(other)
-        response = signed(answer)
+            return call_response(other)
+        response = call_response(answer)
         if draw() < self.state.faults.cut_answers_share:
             half = answer.body[: len(answer.body) // 2]
             response.response = response.iterable_body_class(
-                cut_body(half, self._cut),
+                truncated_body(half, self._cut),
             )
         return response
 
@@ -287,7 +287,7 @@
 
     async def start_task(self, task_id: str) -> Response:
         """Start an attempt of a task."""
-        body = await request_body()
+        body = await read_request_body()
         start = msgspec.json.decode(body, type=TaskStart)
         report = self._state.start_task(start, time.monotonic())
         if isinstance(report, WorkerRefusal):
@@ -296,7 +296,7 @@
 
     async def stop_task(self, task_id: str) -> Response:
         """Stop an attempt of a task."""
-        body = await request_body()
+        body = await read_request_body()
         call = msgspec.json.decode(body, type=StopCall)
         report = self._state.tasks.stop(
             TaskId(task_id),
@@ -304,18 +304,18 @@
             time.monotonic(),
             with_checkpoint=call.with_checkpoint,
         )
-        return as_json(report or unknown_task(task_id, call.fence))
+        return as_json(report or unknown_task_report(task_id, call.fence))
 
     async def throttle_task(self, task_id: str) -> Response:
         """Limit the processors of a task."""
-        body = await request_body()
+        body = await read_request_body()
         call = msgspec.json.decode(body, type=ThrottleCall)
         report = self._state.tasks.throttle(
             TaskId(task_id),
             call.cpu_share,
             time.monotonic(),
         )
-        return as_json(report or unknown_task(task_id, (0, 0)))
+        return as_json(report or unknown_task_report(task_id, (0, 0)))
 
     async def usage(self) -> Response:
         """Return the lagging usage report."""
@@ -371,8 +371,8 @@
 def _routes(server: WorkerServer) -> QuartTrio:
     app = QuartTrio(__name__)
     tasks = TaskRoutes(server.state)
-    app.before_request(server.enter)
-    app.after_request(server.leave)
+    app.before_request(server.apply_request_faults)
+    app.after_request(server.apply_response_faults)
     routes = (
         ('POST', '/run/<service>', server.run),
         ('POST', '/calls/<call_id>/settle', server.settle),
--- a/standins/worker_state.py
+++ b/standins/worker_state.py
@@ -211,7 +211,7 @@
         if epoch >= self.epoch:
             self.epoch = epoch
             self._revoked.update(revoked)
-            self.tasks.lapses_at_s = now_s + lease_ms / _MS_PER_S
+            self.tasks.expires_at_s = now_s + lease_ms / _MS_PER_S
         return tuple(
             RunningCall(record.call_id, record.grant_id)
             for record in self._running.values()
--- a/standins/worker_tasks.py
+++ b/standins/worker_tasks.py
@@ -36,11 +36,11 @@
 class TaskTable:
     """The latest attempt of each task, with fences and the lease."""
 
-    def __init__(self, room: Demand, lapses_at_s: float) -> None:
-        """Start empty; ``room`` is what the worker holds."""
-        self.lapses_at_s = lapses_at_s
+    def __init__(self, capacity: Demand, expires_at_s: float) -> None:
+        """Start empty; ``capacity`` is what the worker holds."""
+        self.expires_at_s = expires_at_s
         self.history: list[TaskRecord] = []
-        self._room = room
+        self._room = capacity
         self._tasks: dict[TaskId, TaskRecord] = {}
         self._fences: dict[str, tuple[int, int]] = {}
 
@@ -57,7 +57,7 @@
         held = self._tasks.get(start.task_id)
         if held is not None and held.start.fence == start.fence:
             return _report(held)
-        if now_s >= self.lapses_at_s:
+        if now_s >= self.expires_at_s:
             return WorkerRefusal.STALE_EPOCH
         refusal = self._refusal(start)
         if refusal is not None:
@@ -119,12 +119,12 @@
 
     def advance(self, now_s: float) -> None:
         """Do the tasks' work up to now and stop them if the lease lapsed."""
-        until_s = min(now_s, self.lapses_at_s)
+        until_s = min(now_s, self.expires_at_s)
         for task in self.active():
             self._work(task, until_s)
-            if task.phase in _ACTIVE and now_s >= self.lapses_at_s:
+            if task.phase in _ACTIVE and now_s >= self.expires_at_s:
                 task.phase = TaskPhase.STOPPED
-                task.end_s = self.lapses_at_s
+                task.end_s = self.expires_at_s
 
     def _work(self, task: TaskRecord, until_s: float) -> None:
         rate = task.cpu_share * _MS_PER_S
--- a/tests/cells/test_cell.py
+++ b/tests/cells/test_cell.py
@@ -10,7 +10,7 @@
 from marjoramwharf.cells.status import ShownState
 from marjoramwharf.ids import WorkerId
 from marjoramwharf.scheduling.fleet import WorkerState
-from standins.run_worker import RunWorker
+from standins.simulated_worker import SimulatedWorker
 from tests.cells.world import (
     CELL,
     job_request,
@@ -240,7 +240,7 @@
     async def _start_answer_is_lost(self) -> None:
         async with open_world() as (world, nursery):
             world.spawn(nursery, 'e1')
-            world.calls.starts_to_lose = 2
+            world.calls.start_answers_to_lose = 2
             request = job_request('aa')
             await world.submit(request)
             await world.until(
@@ -254,7 +254,7 @@
             await world.until(lambda: world.owners[0].cell is not None)
             await trio.sleep(1)
             world.calls.starts_to_repeat = 1
-            world.calls.holds_to_lose = 2
+            world.calls.hold_answers_to_lose = 2
             request = job_request('aa', payload='ms=50')
             await world.submit(request)
             await world.until(
@@ -269,7 +269,7 @@
             request = job_request('aa', payload='ms=3000')
             await world.submit(request)
             await world.until(lambda: world.starts().total() == 1)
-            for late in world.calls.late_orders:
+            for late in world.calls.delayed_orders:
                 late()
             world.check_runs()
             await world.until(
@@ -284,12 +284,12 @@
             world.calls.starts_to_delay = 1
             request = job_request('aa', payload='ms=3000')
             await world.submit(request)
-            await world.until(lambda: bool(world.calls.late_orders))
+            await world.until(lambda: bool(world.calls.delayed_orders))
             first.scope.cancel()
             world.spawn(nursery, 'e2')
             await world.until(lambda: world.starts().total() == 1)
             await trio.sleep(5)
-            world.calls.late_orders[0]()
+            world.calls.delayed_orders[0]()
             await world.until(
                 lambda: world.state(request) is ShownState.DONE,
             )
@@ -314,7 +314,7 @@
             request = job_request('aa', payload='ms=2000')
             await world.submit(request)
             await world.until(lambda: world.starts().total() == 1)
-            world.workers[WorkerId('w1')] = RunWorker(trio.current_time())
+            world.workers[WorkerId('w1')] = SimulatedWorker(trio.current_time())
             await world.until(
                 lambda: world.state(request) is ShownState.DONE,
                 limit_s=6,
@@ -359,7 +359,7 @@
             )
             key = progress_key(CELL, request.job_id)
             last = world.store.state.stored[key]
-            for late in world.store.late_commits:
+            for late in world.store.delayed_commits:
                 late()
             self.assertEqual(last, world.store.state.stored[key])
 
--- a/tests/cells/test_entry_directory.py
+++ b/tests/cells/test_entry_directory.py
@@ -54,7 +54,7 @@
             self.assertTrue(directory.known)
             store.is_down = False
             await trio.sleep(11)
-            self.assertTrue(store.state.below('mw/entry/'))
+            self.assertTrue(store.state.values_below('mw/entry/'))
             nursery.cancel_scope.cancel()
 
     async def _many(self) -> None:
@@ -63,5 +63,5 @@
             for number in range(300):
                 nursery.start_soon(_directory(store, f'e{number}').run)
             await trio.sleep(0.5)
-            self.assertLessEqual(len(store.state.below('mw/entry/')), 64)
+            self.assertLessEqual(len(store.state.values_below('mw/entry/')), 64)
             nursery.cancel_scope.cancel()
--- a/tests/cells/test_histories.py
+++ b/tests/cells/test_histories.py
@@ -18,7 +18,7 @@
 from marjoramwharf.cells.status import ShownState
 from marjoramwharf.errors import LeaseEnded
 from marjoramwharf.ids import WorkerId
-from standins.run_worker import RunWorker
+from standins.simulated_worker import SimulatedWorker
 from tests.cells.world import (
     World,
     job_request,
@@ -49,7 +49,7 @@
 def _restart_worker(world: World, pick: int) -> None:
     name = WorkerId(_WORKERS[pick % len(_WORKERS)])
     world.retired.append(world.workers[name])
-    world.workers[name] = RunWorker(trio.current_time())
+    world.workers[name] = SimulatedWorker(trio.current_time())
 
 
 def _store_down(world: World, _pick: int) -> None:
@@ -73,15 +73,15 @@
 
 
 def _late_commits(world: World, _pick: int) -> None:
-    for commit in world.store.late_commits:
+    for commit in world.store.delayed_commits:
         # A late write whose lease has ended changes nothing.
         with suppress(LeaseEnded):
             commit()
-    world.store.late_commits.clear()
+    world.store.delayed_commits.clear()
 
 
 def _lose_starts(world: World, pick: int) -> None:
-    world.calls.starts_to_lose += pick
+    world.calls.start_answers_to_lose += pick
 
 
 def _repeat_starts(world: World, pick: int) -> None:
@@ -93,13 +93,13 @@
 
 
 def _late_starts(world: World, _pick: int) -> None:
-    for order in world.calls.late_orders:
+    for order in world.calls.delayed_orders:
         order()
-    world.calls.late_orders.clear()
+    world.calls.delayed_orders.clear()
 
 
 def _lose_looks(world: World, pick: int) -> None:
-    world.calls.holds_to_lose += pick
+    world.calls.hold_answers_to_lose += pick
 
 
 def _doubt_owner(world: World, _pick: int) -> None:
@@ -225,7 +225,7 @@
         """Fail if a task was started after its end as done was noted."""
         every = [*world.workers.values(), *world.retired]
         for worker in every:
-            for task, ended_s in worker.noted_done:
+            for task, ended_s in worker.acknowledged_completions:
                 later = [
                     started_s
                     for other in every
--- a/tests/cells/test_intake.py
+++ b/tests/cells/test_intake.py
@@ -25,7 +25,7 @@
 from marjoramwharf.links.http_server import HttpReply, HttpRequest
 from marjoramwharf.links.peer_messages import PeerIdentity
 from marjoramwharf.links.store import Write
-from marjoramwharf.platform.front import Front
+from marjoramwharf.platform.job_api import JobApi
 from marjoramwharf.scheduling.job_state import JobPhase
 from standins.polling_store import PollingMemoryStore
 from tests.cells.world import (
@@ -44,7 +44,7 @@
 @dataclass
 class _Entry:
     store: PollingMemoryStore
-    front: Front
+    front: JobApi
     intake: Intake
 
     async def ask(
@@ -84,7 +84,7 @@
     await trio.lowlevel.checkpoint()
     yield _Entry(
         store,
-        Front(intake, lambda: world.configuration if configured else None),
+        JobApi(intake, lambda: world.configuration if configured else None),
         intake,
     )
 
--- a/tests/cells/world.py
+++ b/tests/cells/world.py
@@ -33,8 +33,8 @@
 from marjoramwharf.scheduling.policy import Configuration, QueuePolicy
 from marjoramwharf.scheduling.workload import JobRequest, StepRequest
 from standins.polling_store import PollingMemoryStore
-from standins.run_worker import RunWorker
-from standins.run_worker_calls import MemoryWorkerCalls
+from standins.simulated_worker import SimulatedWorker
+from standins.simulated_worker_client import MemoryWorkerClient
 
 CELL = CellId(0)
 SERVICE = 'presses'
@@ -96,10 +96,10 @@
     """
 
     store: PollingMemoryStore = field(default_factory=PollingMemoryStore)
-    workers: dict[WorkerId, RunWorker] = field(default_factory=dict)
+    workers: dict[WorkerId, SimulatedWorker] = field(default_factory=dict)
     listings: dict[WorkerId, WorkerListing] = field(default_factory=dict)
     owners: list[Owner] = field(default_factory=list)
-    retired: list[RunWorker] = field(default_factory=list)
+    retired: list[SimulatedWorker] = field(default_factory=list)
     configuration: Configuration = Configuration(
         1,
         {
@@ -113,11 +113,11 @@
             ),
         },
     )
-    calls: MemoryWorkerCalls = field(init=False)
+    calls: MemoryWorkerClient = field(init=False)
 
     def __post_init__(self) -> None:
         """Share the workers with the calls."""
-        self.calls = MemoryWorkerCalls(self.workers)
+        self.calls = MemoryWorkerClient(self.workers)
 
     async def add_worker(
         self,
@@ -125,12 +125,12 @@
         *,
         state: WorkerState = WorkerState.READY,
         remaining_ms: int | None = None,
-    ) -> RunWorker:
+    ) -> SimulatedWorker:
         """List a worker, new or with another state."""
         worker_id = WorkerId(name)
         worker = self.workers.setdefault(
             worker_id,
-            RunWorker(born_s=trio.current_time()),
+            SimulatedWorker(born_s=trio.current_time()),
         )
         self.listings[worker_id] = WorkerListing(
             worker_id=worker_id,
--- a/tests/contracts/test_claims.py
+++ b/tests/contracts/test_claims.py
@@ -58,7 +58,7 @@
                 for number in range(40):
                     nursery.start_soon(_hold, claims, f'k{number}', 'c')
             self.assertLessEqual(store.writes_count, 2)
-            self.assertEqual(len(store.state.below('/once/')), 40)
+            self.assertEqual(len(store.state.values_below('/once/')), 40)
 
         _with_claims(body)
 
@@ -188,10 +188,10 @@
             # 60 s of claims in buckets of 30 s.
             self.assertLessEqual(store.state.grant_lease(1, 0), 4)
             await trio.sleep(_TTL_S - 61)
-            self.assertEqual(len(store.state.below('/once/')), 20)
+            self.assertEqual(len(store.state.values_below('/once/')), 20)
             await trio.sleep(100)
             self.assertIsNone(await claims.look_up(_TEAM, 'k0'))
-            self.assertFalse(store.state.below('/once/'))
+            self.assertFalse(store.state.values_below('/once/'))
 
         _with_claims(body)
 
--- a/tests/links/test_members.py
+++ b/tests/links/test_members.py
@@ -102,9 +102,9 @@
     async def _lapsed(self, nursery: trio.Nursery) -> None:
         view = await self._start(nursery)
         self.state.expire_all_leases()
-        self.assertEqual(self.state.below(PREFIX), ())
+        self.assertEqual(self.state.values_below(PREFIX), ())
         await trio.sleep(_TTL_S)
-        self.assertEqual(len(self.state.below(PREFIX)), 1)
+        self.assertEqual(len(self.state.values_below(PREFIX)), 1)
         self.assertEqual(view.live(), (_member('a'),))
 
     async def _outage(self, nursery: trio.Nursery) -> None:
@@ -114,7 +114,7 @@
         self.assertEqual(view.live(), (_member('a'),))
         self.store.is_down = False
         await trio.sleep(_TTL_S)
-        self.assertEqual(len(self.state.below(PREFIX)), 1)
+        self.assertEqual(len(self.state.values_below(PREFIX)), 1)
         self.assertEqual(view.live(), (_member('a'),))
 
     async def _leaving(self, nursery: trio.Nursery) -> None:
@@ -183,7 +183,7 @@
         registration = Registration(store, _member('a'), ttl_s=1)
         await nursery.start(registration.run)
         standin.set_faults(Faults(drop_watches=True, expire_leases=True))
-        while not standin.state.below(PREFIX):
+        while not standin.state.values_below(PREFIX):
             await trio.sleep(0.01)
         # A later record shows that the view has seen all before it.
         marker = msgspec.structs.replace(_member('m'), entry_id='marker')
--- a/tests/platform/serving.py
+++ b/tests/platform/serving.py
@@ -26,12 +26,12 @@
     """
 
     replies: list[tuple[int, Any] | None]
-    seen: list[HttpRequest] = field(default_factory=list)
+    requests: list[HttpRequest] = field(default_factory=list)
     address: str = ''
 
     async def handle(self, request: HttpRequest) -> HttpReply:
         """Answer one request."""
-        self.seen.append(request)
+        self.requests.append(request)
         await trio.lowlevel.checkpoint()
         reply = self.replies.pop(0)
         if reply is None:
@@ -40,7 +40,7 @@
 
     def body(self, index: int) -> Any:
         """Return a request's body."""
-        return json.loads(self.seen[index].body)
+        return json.loads(self.requests[index].body)
 
 
 @asynccontextmanager
--- a/tests/platform/test_kv_store.py
+++ b/tests/platform/test_kv_store.py
@@ -67,7 +67,9 @@
             found = await _store(script).read('my/leader')
             assert found is not None
             self.assertEqual((b'node-1', 412), (found.body, found.mod_revision))
-            self.assertEqual('/kv-key?Key=my%2Fleader', script.seen[0].target)
+            self.assertEqual(
+                '/kv-key?Key=my%2Fleader', script.requests[0].target
+            )
             self.assertIsNone(await _store(script).read('none'))
 
     async def _pages(self) -> None:
@@ -82,7 +84,7 @@
             self.assertEqual(530, reading.revision)
             keys = [stored.key for stored in reading.found]
             self.assertEqual(['my/leader', 'my/z'], keys)
-            self.assertIn('After=my%2Fleader', script.seen[1].target)
+            self.assertIn('After=my%2Fleader', script.requests[1].target)
 
     async def _commit(self) -> None:
         conflict = {'items': [_ITEM]}
@@ -119,7 +121,7 @@
             batch = await store.poll('my/', after_revision=411, wait_ms=10)
             self.assertEqual(413, batch.revision)
             self.assertIsNone(batch.events[1].stored)
-            self.assertIn('After=411&WaitMs=10', script.seen[0].target)
+            self.assertIn('After=411&WaitMs=10', script.requests[0].target)
             with self.assertRaises(HistoryLost):
                 await store.poll('my/', after_revision=1, wait_ms=10)
 
@@ -133,7 +135,7 @@
             lease = await store.grant_lease(3_000)
             self.assertEqual({'TtlMs': 3000}, script.body(0))
             self.assertTrue(await store.keep_alive(lease))
-            self.assertEqual('/kv-keep/77120', script.seen[1].target)
+            self.assertEqual('/kv-keep/77120', script.requests[1].target)
             self.assertFalse(await store.keep_alive(lease))
 
     async def _failures(self) -> None:
--- a/tests/platform/test_boot.py
+++ b/tests/platform/test_settings_file.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from marjoramwharf.errors import BadSettings
-from marjoramwharf.platform.boot import parse_place
+from marjoramwharf.platform.settings_file import parse_instance_settings
 
 _TEXT = """Node=front-a-1
 Zone=zone-a
@@ -35,7 +35,7 @@
 
     def test_all_fields(self) -> None:
         """Guards against a unit or a product that is wrong."""
-        place = parse_place(_TEXT, origin='settings.conf')
+        place = parse_instance_settings(_TEXT, origin='settings.conf')
         self.assertEqual(('10.1.0.13', 8161), place.front)
         self.assertEqual((7720, 7735), place.peer_ports)
         self.assertAlmostEqual(1.074, place.cpu_share)
@@ -47,7 +47,7 @@
     def test_missing_field_is_named(self) -> None:
         """Guards against an error that doesn't say what is missing."""
         with self.assertRaisesRegex(BadSettings, 'platform.Address'):
-            parse_place(
+            parse_instance_settings(
                 _TEXT.replace('platform.Address', 'elsewhere'),
                 origin='settings.conf',
             )
@@ -55,7 +55,7 @@
     def test_unreadable_field_is_named(self) -> None:
         """Guards against a value that is taken for a default."""
         with self.assertRaisesRegex(BadSettings, 'GraceS'):
-            parse_place(
+            parse_instance_settings(
                 _TEXT.replace('GraceS=6', 'GraceS=soon'),
                 origin='settings.conf',
             )
@@ -65,7 +65,7 @@
     def test_any_text(self, text: str) -> None:
         """Guards against a failure without a type."""
         try:
-            parse_place(text, origin='settings.conf')
+            parse_instance_settings(text, origin='settings.conf')
         except BadSettings:
             return
         self.fail('needed fields are missing')
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -12,7 +12,7 @@
 from marjoramwharf.ids import JobId
 from marjoramwharf.platform import job_bodies
 from marjoramwharf.platform.operator_config import decode_configuration
-from marjoramwharf.platform.worker_entries import decode_listing
+from marjoramwharf.platform.worker_listings import decode_listing
 from marjoramwharf.scheduling.fleet import WorkerState
 from marjoramwharf.scheduling.policy import QueuePolicy
 from marjoramwharf.scheduling.workload import JobRequest
--- a/tests/platform/test_worker_calls.py
+++ b/tests/platform/test_worker_client.py
@@ -16,7 +16,7 @@
 )
 from marjoramwharf.ids import TaskId, WorkerId
 from marjoramwharf.links.http_client import LeanClient
-from marjoramwharf.platform.worker_calls import PlatformWorkerCalls
+from marjoramwharf.platform.worker_client import PlatformWorkerClient
 from marjoramwharf.scheduling.job_state import RunEnd
 from tests.platform.serving import Script, scripted
 
@@ -34,7 +34,7 @@
 
     def setUp(self) -> None:
         """Use one client for each test."""
-        self.calls = PlatformWorkerCalls(LeanClient())
+        self.calls = PlatformWorkerClient(LeanClient())
 
     def test_start(self) -> None:
         """Guards against an order that is sent wrong."""
@@ -76,7 +76,7 @@
                 },
                 script.body(0),
             )
-            sent = script.seen[0].headers
+            sent = script.requests[0].headers
             self.assertEqual('i-1', sent['x-marjoramwharf-target-instance'])
 
     async def _refusals(self) -> None:
@@ -156,7 +156,7 @@
                 {'Task': _TASK, 'Run': 2, 'Fence': 7}, script.body(0)
             )
             self.assertEqual(40, script.body(1)['Percent'])
-            targets = [request.target for request in script.seen]
+            targets = [request.target for request in script.requests]
             self.assertEqual(['/run-stop', '/pace'], targets)
 
     async def _no_answer(self) -> None:
--- a/tests/programs/test_cells.py
+++ b/tests/programs/test_cells.py
@@ -21,7 +21,7 @@
 from marjoramwharf.links.store import Write
 from marjoramwharf.programs.cells import job_rows, owner_rows, worker_rows
 from marjoramwharf.scheduling.job_state import JobPhase
-from standins.platform_process import worker_entry
+from standins.platform_process import worker_listing
 from standins.polling_store import PollingMemoryStore
 from tests.cells.world import job_request
 
@@ -48,7 +48,7 @@
                 Write(request_key(_CELL, first.job_id), encode(first)),
                 Write(request_key(_CELL, second.job_id), encode(second)),
                 Write(progress_key(_CELL, JobId('a')), encode(running)),
-                Write('servers/w1', worker_entry(7_001, 'r1')),
+                Write('servers/w1', worker_listing(7_001, 'r1')),
                 Write('servers/w2', b'from another writer'),
             ],
         )
--- a/tests/service/test_dispatch.py
+++ b/tests/service/test_dispatch.py
@@ -416,7 +416,7 @@
         async def body(entry: Entry, _other: Entry) -> None:
             outcome = await entry.dispatcher.serve(make_request(key='k'))
             self.assertIsInstance(outcome, NotRun)
-            self.assertFalse(self.fleet.store.state.below('/once/'))
+            self.assertFalse(self.fleet.store.state.values_below('/once/'))
             self.assertFalse(self.fleet.lent)
 
         with_entries(self.fleet, body)
--- a/tests/tools/test_history.py
+++ b/tests/tools/test_history.py
@@ -141,7 +141,7 @@
 
     def test_reads_what_the_stand_in_shows(self) -> None:
         """Guards against a checker without task data."""
-        table = TaskTable(Demand(4000, 4000), lapses_at_s=100)
+        table = TaskTable(Demand(4000, 4000), expires_at_s=100)
         start = TaskStart(
             task_id=TaskId('0-a.0'),
             fence=(2, 3),
--- a/tools/slope_state.py
+++ b/tools/slope_state.py
@@ -249,7 +249,7 @@
     empty = time_us(lambda: trio.run(_commit_groups, MemoryStore(), []))
     trio.run(_commit_groups, store, [starts])
     assert len(store.state.stored) == before + 1
-    body = max(store.state.below('/jobs/'), key=_key).body
+    body = max(store.state.values_below('/jobs/'), key=_key).body
     return {
         'start_entry_bytes': len(body),
         'submit_bytes': len(msgpack.encode(submitted)),
@@ -272,7 +272,7 @@
     ]
     trio.run(_commit_groups, store, groups)
     calls_before = store.reads_count
-    kept = store.state.below('/jobs/')
+    kept = store.state.values_below('/jobs/')
 
     def recover() -> None:
         trio.run(_open_journal, store)
