--- a/src/marjoramwharf/platform/advice_client.py
+++ b/src/marjoramwharf/platform/advice_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's advice service; implements ``cells.AdviceCalls``."""
+"""Client of the platform's advice service; implements ``cells.AdviceCalls``."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from marjoramwharf.links.http_client import CallFailed, LeanClient
 
 
-class _Question(Struct, frozen=True, rename='pascal'):
-    """``Step`` is a task's name without its last number."""
+class _AdviceRequest(Struct, frozen=True, rename='pascal'):
+    """``Step`` is the id of a task without its last number."""
 
     step: str
     workers: tuple[str, ...]
 
 
-class _Answer(Struct, frozen=True, rename='pascal'):
-    """``Good`` has rows of a worker's id and its ticket."""
+class _AdviceReply(Struct, frozen=True, rename='pascal'):
+    """``Good`` has rows of a worker's id and the ticket to run there."""
 
     good: tuple[tuple[str, str], ...] = ()
     valid_ms: int = 0
 
 
 class PlatformAdviceClient:
-    """Calls over the connections of one client."""
+    """Asks the advice service over the connections of one HTTP client."""
 
     def __init__(self, client: LeanClient, address: str) -> None:
-        """Use ``host:port`` as the service."""
+        """Use the advice service at ``host:port``."""
         self._client = client
         self._url = f'http://{address}/advise'
 
@@ -42,21 +42,24 @@
         *,
         timeout_s: float,
     ) -> Advice:
-        """Return the workers that may run a step."""
+        """Ask which of the workers may run a step.
+
+        Raises ``AdviceUnavailable`` if there is no usable answer.
+        """
         try:
             answer = await self._client.request(
                 'POST',
                 self._url,
                 headers={'Content-Type': 'application/json'},
-                body=json.encode(_Question(step, tuple(workers))),
+                body=json.encode(_AdviceRequest(step, tuple(workers))),
                 timeout_s=timeout_s,
             )
         except CallFailed as failure:
             raise AdviceUnavailable(message=str(failure)) from failure
         if not answer.is_success:
-            raise AdviceUnavailable(message=f'status {answer.status}')
+            raise AdviceUnavailable(message=f'answer of status {answer.status}')
         try:
-            body = decode_json(answer.body, _Answer)
+            body = decode_json(answer.body, _AdviceReply)
         except DecodeError as failure:
             raise AdviceUnavailable(message=str(failure)) from failure
         return Advice(
--- a/src/marjoramwharf/platform/job_api.py
+++ b/src/marjoramwharf/platform/job_api.py
@@ -1,4 +1,4 @@
-"""The callers' interface of the platform: paths, statuses and headers."""
+"""The platform's HTTP API for jobs: paths, statuses and headers."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 _JOB_ID = re.compile('[0-9a-f]{16}')
 _MS_PER_S = 1_000
 
-# Time of a caller's deadline that is kept for the way back.
-_RETURN_S = 0.1
+# Reserved before a caller's deadline for the answer to reach the caller.
+_ANSWER_MARGIN_S = 0.1
 
 _ACCEPTED = HttpReply(200, b'{}')
 _CANCELLED = HttpReply(200, b'{}')
 _NO_QUEUE = HttpReply(404, b'{"Error":"no such queue"}')
 _NO_JOB = HttpReply(410, b'{"Error":"no such job"}')
 _BAD_METHOD = HttpReply(405, b'{"Error":"method not allowed"}')
-_UNKNOWN = HttpReply(504, b'{"Error":"outcome unknown"}')
-_UNREAD = HttpReply(503, b'{"Error":"state can not be read"}')
+_OUTCOME_UNKNOWN = HttpReply(504, b'{"Error":"outcome unknown"}')
+_STATE_UNAVAILABLE = HttpReply(503, b'{"Error":"state can not be read"}')
 _NOT_READY = HttpReply(
     503,
     b'{"Error":"no configuration yet"}',
@@ -48,29 +48,29 @@
     b'{"Error":"no worker is large enough"}',
     (('Retry-After', '60'),),
 )
-_SUBMITTED = {
+_SUBMISSION_REPLIES = {
     Submission.ACCEPTED: _ACCEPTED,
     Submission.REFUSED: _NOT_STORED,
-    Submission.UNKNOWN: _UNKNOWN,
+    Submission.UNKNOWN: _OUTCOME_UNKNOWN,
     Submission.UNSERVABLE: _UNSERVABLE,
 }
 
 
 @dataclass(frozen=True, slots=True)
 class JobApi:
-    """Translates HTTP requests of callers to the intake of a cell."""
+    """Answers the HTTP requests of callers through the intake of a cell."""
 
     intake: Intake
     configuration: Callable[[], Configuration | None]
 
     async def handle(self, request: HttpRequest) -> HttpReply:
-        """Answer one request."""
-        reply = await self._answer(request)
-        took_s = trio.current_time() - request.arrived_s
-        self.intake.counters.answer_samples_s.append(took_s)
+        """Answer one request and record how long that took."""
+        reply = await self._route(request)
+        answer_time_s = trio.current_time() - request.arrived_s
+        self.intake.counters.answer_samples_s.append(answer_time_s)
         return reply
 
-    async def _answer(self, request: HttpRequest) -> HttpReply:
+    async def _route(self, request: HttpRequest) -> HttpReply:
         configuration = self.configuration()
         if configuration is None:
             return _NOT_READY
@@ -79,14 +79,14 @@
         queue = configuration.queue_at(host, path)
         if queue is None:
             return _NO_QUEUE
-        rest = path.removeprefix(queue.prefix)
-        if not rest:
-            return await self._count(request, queue)
-        if _JOB_ID.fullmatch(rest) is None:
+        job_path = path.removeprefix(queue.prefix)
+        if not job_path:
+            return await self._answer_waiting_count(request, queue)
+        if _JOB_ID.fullmatch(job_path) is None:
             return _NO_QUEUE
-        return await self._serve_job(request, queue, JobId(rest))
+        return await self._route_job(request, queue, JobId(job_path))
 
-    async def _serve_job(
+    async def _route_job(
         self,
         request: HttpRequest,
         queue: QueuePolicy,
@@ -97,20 +97,20 @@
             if request.method == 'POST':
                 return await self._submit(request, queue, job_id, deadline_s)
             if request.method == 'GET':
-                return await self._status(job_id)
+                return await self._answer_status(job_id)
             if request.method == 'DELETE':
                 return await self._cancel(job_id, deadline_s)
         except BadJob as bad:
-            _LOG.info('job malformed', job=job_id, error=str(bad))
+            _LOG.info('malformed job refused', job=job_id, error=str(bad))
             return HttpReply(400, b'{"Error":"malformed job"}')
         except Failure as failure:
             _LOG.info(
-                'request not served',
+                'request for a job failed',
                 job=job_id,
                 method=request.method,
                 error=str(failure),
             )
-            return _UNREAD
+            return _STATE_UNAVAILABLE
         return _BAD_METHOD
 
     async def _submit(
@@ -127,19 +127,19 @@
             now_ms=wall_ms(),
         )
         outcome = await self.intake.submit(job, deadline_s=deadline_s)
-        return _SUBMITTED[outcome]
+        return _SUBMISSION_REPLIES[outcome]
 
-    async def _status(self, job_id: JobId) -> HttpReply:
+    async def _answer_status(self, job_id: JobId) -> HttpReply:
         state = await self.intake.status(job_id)
         if state is None:
             return _NO_JOB
         return HttpReply(200, job_bodies.encode_state(state))
 
     async def _cancel(self, job_id: JobId, deadline_s: float) -> HttpReply:
-        known = await self.intake.cancel(job_id, deadline_s=deadline_s)
-        return _CANCELLED if known else _NO_JOB
+        is_known = await self.intake.cancel(job_id, deadline_s=deadline_s)
+        return _CANCELLED if is_known else _NO_JOB
 
-    async def _count(
+    async def _answer_waiting_count(
         self,
         request: HttpRequest,
         queue: QueuePolicy,
@@ -149,24 +149,28 @@
         try:
             count = await self.intake.waiting_count(queue.name)
         except Failure as failure:
-            _LOG.info('count not read', queue=queue.name, error=str(failure))
-            return _UNREAD
+            _LOG.info(
+                'waiting count unavailable',
+                queue=queue.name,
+                error=str(failure),
+            )
+            return _STATE_UNAVAILABLE
         return HttpReply(200, job_bodies.encode_waiting_count(count))
 
 
 def _deadline_s(request: HttpRequest, queue: QueuePolicy) -> float:
-    """Return the time by which the caller needs an answer."""
+    """Return the time at which the answer has to be sent."""
     allowed_ms = float(queue.timeout_ms)
-    stated = request.headers.get(_DEADLINE_HEADER, '')
-    if stated.isdecimal():
-        allowed_ms = min(allowed_ms, float(stated))
-    return request.arrived_s + max(0, allowed_ms / _MS_PER_S - _RETURN_S)
+    header_ms = request.headers.get(_DEADLINE_HEADER, '')
+    if header_ms.isdecimal():
+        allowed_ms = min(allowed_ms, float(header_ms))
+    return request.arrived_s + max(0, allowed_ms / _MS_PER_S - _ANSWER_MARGIN_S)
 
 
 async def answer_readiness(
     is_ready: Callable[[], bool],
     _request: HttpRequest,
 ) -> HttpReply:
-    """Answer the platform's question whether this entry takes callers."""
+    """Answer the platform's readiness check: 200 if ready, else 503."""
     await trio.lowlevel.checkpoint()
     return HttpReply(200 if is_ready() else 503, b'{}')
--- a/src/marjoramwharf/platform/job_bodies.py
+++ b/src/marjoramwharf/platform/job_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of the callers' requests for jobs, and of the answers."""
+"""Decodes the bodies of job requests and encodes those of the answers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 _Size = Annotated[int, Meta(ge=0, le=2_000_000_000)]
 
-_STATES = {
+_STATE_BODIES = {
     ShownState.QUEUED: b'{"State":"queued"}',
     ShownState.RUNNING: b'{"State":"running"}',
     ShownState.DONE: b'{"State":"completed"}',
@@ -28,10 +28,10 @@
 
 
 class _Step(Struct, frozen=True, rename='pascal'):
-    """``Cpu`` is in thousandths of a core, ``Requirements`` one label.
+    """``Cpu`` is in millicores; ``Requirements`` is a single label.
 
-    ``Fills`` steps take what others leave unused; ``TargetMs`` is the tail
-    latency that a lasting task has to keep.
+    Tasks of a step with ``Fills`` use the resources that others leave unused;
+    ``TargetMs`` is the tail latency that a lasting task has to keep.
     """
 
     count: Annotated[int, Meta(ge=1, le=_MAX_TASKS)]
@@ -74,20 +74,25 @@
     queue: QueuePolicy,
     now_ms: int,
 ) -> JobRequest:
-    """Return the request of a body; raises ``BadJob``."""
+    """Decode the body of a submission; raises ``BadJob``.
+
+    A step's ``After`` may only name steps that are listed before it.
+    """
     try:
         job = decode_json(raw, _Job)
     except DecodeError as failure:
         raise BadJob(message=f'unreadable job: {failure}') from failure
     for number, step in enumerate(job.steps):
         if any(not 0 <= before < number for before in step.after):
-            raise BadJob(message=f'step {number} comes after a later step')
+            raise BadJob(
+                message=f'step {number}: After must name earlier steps'
+            )
     return JobRequest(
         job_id=job_id,
         queue=queue.name,
         service=queue.service,
         payload=job.task_spec,
-        steps=tuple(_step(step) for step in job.steps),
+        steps=tuple(_to_step_request(step) for step in job.steps),
         accepted_at_ms=now_ms,
         repeat_count=job.repeat_count,
         first_due_ms=job.initial_ms,
@@ -96,16 +101,16 @@
 
 
 def encode_state(state: ShownState) -> bytes:
-    """Return the body that tells a job's state."""
-    return _STATES[state]
+    """Return the body of an answer with a job's state."""
+    return _STATE_BODIES[state]
 
 
 def encode_waiting_count(count: int) -> bytes:
-    """Return the body that tells how many jobs have not begun."""
+    """Return the body of an answer with the number of jobs not yet begun."""
     return b'{"Waiting":%d}' % count
 
 
-def _step(step: _Step) -> StepRequest:
+def _to_step_request(step: _Step) -> StepRequest:
     return StepRequest(
         count=step.count,
         cpu_millicores=step.cpu,
--- a/src/marjoramwharf/platform/kv_store.py
+++ b/src/marjoramwharf/platform/kv_store.py
@@ -1,6 +1,6 @@
-"""The platform's metadata store: one HTTP call for each method.
+"""Client of the platform's metadata store, over HTTP.
 
-Values travel as base64 text. ``CurrentRev`` is the revision of the whole
+Values are sent as base64 text. ``CurrentRev`` is the revision of the whole
 store, and ``Revision`` that of an item's latest change.
 """
 
@@ -44,16 +44,16 @@
 _NOT_FOUND = 404
 _GONE = 410
 _CONDITION_FAILED = 412
-_NOTHING_DONE = frozenset((429, 503))
+_NOT_APPLIED_STATUSES = frozenset((429, 503))
 
-# The answer of a waiting call may come this much after its wait is over.
+# Time that a watch call may take beyond the wait that it asks for.
 _WAIT_SLACK_S = 1.0
 
 _Model = TypeVar('_Model')
 
 
 class _Item(Struct, frozen=True, rename='pascal'):
-    """``Created`` and ``Revision`` are revisions of the store."""
+    """``Created`` is a store revision like ``Revision``, not a time."""
 
     key: str
     value: str = ''
@@ -68,12 +68,12 @@
     current_revision: int = field(default=0, name='CurrentRev')
 
 
-class _Changes(Struct, frozen=True):
+class _WatchReply(Struct, frozen=True):
     events: tuple[_Item, ...] = ()
     current_revision: int = field(default=0, name='CurrentRev')
 
 
-class _Expected(Struct, frozen=True, rename='pascal'):
+class _Condition(Struct, frozen=True, rename='pascal'):
     key: str
     revision: int
 
@@ -84,28 +84,28 @@
     lease: int = 0
 
 
-class _Transaction(Struct, frozen=True, rename='pascal'):
-    expect: tuple[_Expected, ...]
+class _CommitRequest(Struct, frozen=True, rename='pascal'):
+    expect: tuple[_Condition, ...]
     puts: tuple[_Put, ...]
     remove: tuple[str, ...]
 
 
-class _Applied(Struct, frozen=True, rename='pascal'):
+class _CommitReply(Struct, frozen=True, rename='pascal'):
     revision: int
 
 
-class _Granted(Struct, frozen=True, rename='pascal'):
+class _LeaseReply(Struct, frozen=True, rename='pascal'):
     """``Lease`` is the id of a new lease."""
 
     lease: int
 
 
-class _GrantWish(Struct, frozen=True, rename='pascal'):
+class _LeaseRequest(Struct, frozen=True, rename='pascal'):
     ttl_ms: int
 
 
 class KvStore:
-    """The store at one address; implements ``links.store.PollingStore``."""
+    """A store at one address; implements ``links.store.PollingStore``."""
 
     def __init__(
         self,
@@ -114,30 +114,31 @@
         *,
         timeout_s: float,
     ) -> None:
-        """Use ``host:port`` as the store; nothing is connected yet."""
+        """Use the store at ``host:port``; connects on the first call."""
         self._client = client
         self._base = f'http://{address}'
         self._timeout_s = timeout_s
 
     async def read(self, key: str) -> StoredValue | None:
-        """Return the value of a key, or ``None`` if it does not exist."""
+        """Return the value of a key, or ``None`` if the key doesn't exist."""
         answer = await self._get(f'/kv-key?Key={quote(key, safe="")}')
         if answer.status == _NOT_FOUND:
             return None
-        return _stored(_decoded(answer, _Item))
+        return _decode_item(_decode_answer(answer, _Item))
 
     async def read_prefix(self, prefix: str) -> PrefixReading:
         """Return all keys below a prefix, page by page.
 
-        The revision is that of the first page, since pages are no snapshot.
+        The pages are not one snapshot, so the returned revision is that of the
+        first page; a watch from there misses no change.
         """
         found: list[StoredValue] = []
         revision: int | None = None
         after = ''
         while True:
             path = f'/kv-range?Prefix={quote(prefix, safe="")}{after}'
-            page = _decoded(await self._get(path), _Page)
-            found.extend(_stored(entry) for entry in page.items)
+            page = _decode_answer(await self._get(path), _Page)
+            found.extend(_decode_item(item) for item in page.items)
             if revision is None:
                 revision = page.current_revision
             if not page.has_more or not page.items:
@@ -149,10 +150,14 @@
         guards: Sequence[Guard],
         writes: Sequence[Write],
     ) -> Committed | Conflict:
-        """Apply all writes in one call if all guards hold."""
-        body = _Transaction(
+        """Apply all writes in one transaction if all guards hold.
+
+        Returns ``Conflict`` with the stored values if a guard fails, and raises
+        ``LeaseEnded`` if the lease of a write no longer exists.
+        """
+        body = _CommitRequest(
             expect=tuple(
-                _Expected(guard.key, guard.mod_revision) for guard in guards
+                _Condition(guard.key, guard.mod_revision) for guard in guards
             ),
             puts=tuple(
                 _Put(
@@ -167,26 +172,26 @@
         )
         answer = await self._post('/kv-txn', body)
         if answer.status == _CONDITION_FAILED:
-            page = _decoded(answer, _Page)
-            return Conflict(tuple(_stored(entry) for entry in page.items))
+            page = _decode_answer(answer, _Page)
+            return Conflict(tuple(_decode_item(item) for item in page.items))
         if answer.status == _NOT_FOUND:
             raise LeaseEnded(message='the lease of a write has ended')
-        return Committed(_decoded(answer, _Applied).revision)
+        return Committed(_decode_answer(answer, _CommitReply).revision)
 
     async def grant_lease(self, ttl_ms: int) -> LeaseId:
-        """Create a lease that lapses when it is not kept alive."""
-        answer = await self._post('/kv-lease', _GrantWish(ttl_ms))
-        return LeaseId(_decoded(answer, _Granted).lease)
+        """Create a lease that expires when it is not kept alive."""
+        answer = await self._post('/kv-lease', _LeaseRequest(ttl_ms))
+        return LeaseId(_decode_answer(answer, _LeaseReply).lease)
 
     async def keep_alive(self, lease: LeaseId) -> bool:
-        """Extend a lease; tell whether it still exists."""
+        """Extend a lease and return whether it still exists."""
         answer = await self._post(f'/kv-keep/{lease}', None)
-        return _exists(answer)
+        return _lease_exists(answer)
 
     async def revoke_lease(self, lease: LeaseId) -> None:
         """End a lease and delete the keys attached to it."""
         answer = await self._write('DELETE', f'/kv-lease-end/{lease}', b'')
-        _exists(answer)
+        _lease_exists(answer)
 
     async def poll(
         self,
@@ -195,21 +200,28 @@
         after_revision: int,
         wait_ms: int,
     ) -> WatchBatch:
-        """Return the changes after a revision, empty when the wait is over."""
+        """Return the changes after a revision.
+
+        Waits up to ``wait_ms`` for the first one, then returns an empty batch.
+        Raises ``HistoryLost`` if the store has dropped changes that follow the
+        revision.
+        """
         path = (
             f'/kv-watch?Prefix={quote(prefix, safe="")}'
             f'&After={after_revision}&WaitMs={wait_ms}'
         )
         answer = await self._get(path, wait_s=wait_ms / 1_000 + _WAIT_SLACK_S)
         if answer.status == _GONE:
-            raise HistoryLost(message=f'no changes after {after_revision}')
-        changes = _decoded(answer, _Changes)
+            raise HistoryLost(
+                message=f'store has no history after {after_revision}'
+            )
+        changes = _decode_answer(answer, _WatchReply)
         events = tuple(
             StoreEvent(
-                entry.key,
-                None if entry.deleted else _stored(entry),
+                item.key,
+                None if item.deleted else _decode_item(item),
             )
-            for entry in changes.events
+            for item in changes.events
         )
         revision = max(after_revision, changes.current_revision)
         return WatchBatch(revision, events)
@@ -223,7 +235,7 @@
             )
         except CallFailed as failure:
             raise StoreUnavailable(message=str(failure)) from failure
-        _check_done(answer)
+        _raise_if_not_applied(answer)
         return answer
 
     async def _post(self, path: str, body: Struct | None) -> Answer:
@@ -243,36 +255,42 @@
             raise StoreUnavailable(message=str(unsent)) from unsent
         except CallFailed as failure:
             raise StoreAnswerLost(message=str(failure)) from failure
-        _check_done(answer)
+        _raise_if_not_applied(answer)
         return answer
 
 
-def _check_done(answer: Answer) -> None:
-    if answer.status in _NOTHING_DONE:
+def _raise_if_not_applied(answer: Answer) -> None:
+    if answer.status in _NOT_APPLIED_STATUSES:
         raise StoreUnavailable(message=f'the store answered {answer.status}')
 
 
-def _exists(answer: Answer) -> bool:
+def _lease_exists(answer: Answer) -> bool:
     if answer.status == _NOT_FOUND:
         return False
-    _decoded(answer, Raw)
+    _decode_answer(answer, Raw)
     return True
 
 
-def _decoded(answer: Answer, model: type[_Model]) -> _Model:
+def _decode_answer(answer: Answer, model: type[_Model]) -> _Model:
     """Decode an answer of status 200 or 412; raises ``StoreRefused``."""
     if answer.status not in {_OK, _CONDITION_FAILED}:
         text = answer.body[:200].decode('utf-8', 'replace')
-        raise StoreRefused(message=f'status {answer.status}: {text}')
+        raise StoreRefused(
+            message=f'the store answered {answer.status}: {text}'
+        )
     try:
         return decode_json(answer.body or b'null', model)
     except DecodeError as failure:
-        raise StoreRefused(message=f'unreadable: {failure}') from failure
+        raise StoreRefused(
+            message=f'unreadable store answer: {failure}'
+        ) from failure
 
 
-def _stored(entry: _Item) -> StoredValue:
+def _decode_item(item: _Item) -> StoredValue:
     try:
-        body = b64decode(entry.value, validate=True)
+        body = b64decode(item.value, validate=True)
     except (Base64Error, ValueError) as failure:
-        raise StoreRefused(message=f'{entry.key}: {failure}') from failure
-    return StoredValue(entry.key, body, entry.revision, entry.created)
+        raise StoreRefused(
+            message=f'{item.key} has a value that is not base64: {failure}'
+        ) from failure
+    return StoredValue(item.key, body, item.revision, item.created)
--- a/src/marjoramwharf/platform/operator_config.py
+++ b/src/marjoramwharf/platform/operator_config.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as it lies in the store."""
+"""Decodes the operators' configuration, stored as JSON in one key."""
 
 from __future__ import annotations
 
@@ -18,7 +18,11 @@
 
 
 class _Advice(Struct, frozen=True, rename='pascal'):
-    """``PeriodMs`` is the time for each worker that a call names."""
+    """The advice service's timing for a queue.
+
+    ``PeriodMs`` is not a period but the time that a call takes for each worker
+    it names, on top of ``DecisionMs``.
+    """
 
     decision_ms: int = 0
     period_ms: int = 0
@@ -26,7 +30,7 @@
 
 
 class _Route(Struct, frozen=True, rename='pascal'):
-    """A queue; ``TargetLatencyMs`` is part of a job's objective."""
+    """A queue; ``TargetLatencyMs`` is one term of a job's objective."""
 
     name: str
     host: str
@@ -62,7 +66,7 @@
 
 
 def decode_configuration(raw: bytes) -> Configuration:
-    """Return the configuration of a stored value; raises ``BadNote``."""
+    """Decode a stored configuration; raises ``BadNote``."""
     try:
         config = decode_json(raw, _Config)
     except DecodeError as failure:
@@ -71,7 +75,7 @@
         )
     return Configuration(
         version=config.version,
-        queues={route.name: _queue(route) for route in config.routes},
+        queues={route.name: _to_queue_policy(route) for route in config.routes},
         services={
             service.name: ServicePolicy(
                 name=service.name,
@@ -90,7 +94,7 @@
     )
 
 
-def _queue(route: _Route) -> QueuePolicy:
+def _to_queue_policy(route: _Route) -> QueuePolicy:
     advice = route.advice
     return QueuePolicy(
         name=route.name,
--- a/src/marjoramwharf/platform/worker_client.py
+++ b/src/marjoramwharf/platform/worker_client.py
@@ -1,4 +1,4 @@
-"""Calls to a worker of the platform; implements ``cells.WorkerCalls``."""
+"""HTTP client of the platform's workers; implements ``cells.WorkerCalls``."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 _INCARNATION_HEADER = 'X-Marjoramwharf-Target-Instance'
 _CONFLICT = 409
 
-_BY_STATUS = {
+_OUTCOME_BY_STATUS = {
     200: OrderOutcome.ACCEPTED,
     400: OrderOutcome.BAD_ORDER,
     421: OrderOutcome.OTHER_WORKER,
@@ -44,7 +44,7 @@
 
 
 @enum.unique
-class _Refusal(enum.Enum):
+class _RefusalReason(enum.Enum):
     FENCE = 'fence'
     OLD = 'old'
     LATE = 'late'
@@ -52,17 +52,17 @@
     TICKET = 'ticket'
 
 
-_BY_REFUSAL = {
-    _Refusal.FENCE: OrderOutcome.FENCED,
-    _Refusal.OLD: OrderOutcome.RUN_TOO_OLD,
-    _Refusal.LATE: OrderOutcome.TOO_LATE,
-    _Refusal.ROOM: OrderOutcome.NO_ROOM,
-    _Refusal.TICKET: OrderOutcome.BAD_TICKET,
+_OUTCOME_BY_REASON = {
+    _RefusalReason.FENCE: OrderOutcome.FENCED,
+    _RefusalReason.OLD: OrderOutcome.RUN_TOO_OLD,
+    _RefusalReason.LATE: OrderOutcome.TOO_LATE,
+    _RefusalReason.ROOM: OrderOutcome.NO_ROOM,
+    _RefusalReason.TICKET: OrderOutcome.BAD_TICKET,
 }
 
 
-class _Start(Struct, frozen=True, rename='pascal', omit_defaults=True):
-    """``ExpiresMs`` is a time of the worker's clock."""
+class _StartBody(Struct, frozen=True, rename='pascal', omit_defaults=True):
+    """``ExpiresMs`` is a time of the worker's own clock."""
 
     task: str
     run: int
@@ -73,21 +73,24 @@
     ticket: str = ''
 
 
-class _Stop(Struct, frozen=True, rename='pascal'):
+class _StopBody(Struct, frozen=True, rename='pascal'):
     task: str
     run: int
     fence: int
 
 
-class _Pace(Struct, frozen=True, rename='pascal'):
+class _PaceBody(Struct, frozen=True, rename='pascal'):
     task: str
     run: int
     percent: int
     fence: int
 
 
-class _Hold(Struct, frozen=True, rename='pascal', omit_defaults=True):
-    """``LastSeen`` is the last end that the worker may forget."""
+class _HoldBody(Struct, frozen=True, rename='pascal', omit_defaults=True):
+    """``LastSeen`` is not a time but the number of an end of a run.
+
+    The worker may forget this end and those before it.
+    """
 
     fence: int
     last_seen: int
@@ -95,13 +98,17 @@
     wait_ms: int = 0
 
 
-class _Refused(Struct, frozen=True, rename='pascal'):
+class _RefusalBody(Struct, frozen=True, rename='pascal'):
     clock_ms: int | None = None
     reason: str = ''
 
 
 class _RunRow(Struct, frozen=True, array_like=True):
-    """``reading`` is a latency in ms or a usage, by the kind of task."""
+    """One run at work.
+
+    ``reading`` is the tail latency in ms for a task that serves, and the
+    millicores in use for any other.
+    """
 
     task: str
     run: int
@@ -118,7 +125,7 @@
     saved: str = ''
 
 
-class _Lists(Struct, frozen=True):
+class _HoldReply(Struct, frozen=True):
     clock_ms: int = field(name='ClockMs')
     running: tuple[_RunRow, ...] = field(default=(), name='Running')
     ended: tuple[_EndRow, ...] = field(default=(), name='Ended')
@@ -126,10 +133,10 @@
 
 
 class PlatformWorkerClient:
-    """Calls over the connections of one client."""
+    """Sends orders to workers over the connections of one HTTP client."""
 
     def __init__(self, client: LeanClient) -> None:
-        """Share a client, which keeps connections by address."""
+        """Share ``client``, which keeps connections by address."""
         self._client = client
 
     async def start(
@@ -139,8 +146,8 @@
         *,
         timeout_s: float,
     ) -> OrderAnswer:
-        """Start a run."""
-        body = _Start(
+        """Order a worker to start a run."""
+        body = _StartBody(
             task=order.task,
             run=order.run,
             task_spec=order.payload,
@@ -149,7 +156,7 @@
             checkpoint=order.checkpoint,
             ticket=order.ticket,
         )
-        return await self._order(worker, '/run-start', body, timeout_s)
+        return await self._send_order(worker, '/run-start', body, timeout_s)
 
     async def stop(
         self,
@@ -158,9 +165,9 @@
         *,
         timeout_s: float,
     ) -> OrderAnswer:
-        """Stop a run."""
-        body = _Stop(order.task, order.run, order.fence)
-        return await self._order(worker, '/run-stop', body, timeout_s)
+        """Order a worker to stop a run."""
+        body = _StopBody(order.task, order.run, order.fence)
+        return await self._send_order(worker, '/run-stop', body, timeout_s)
 
     async def pace(
         self,
@@ -169,9 +176,9 @@
         *,
         timeout_s: float,
     ) -> OrderAnswer:
-        """Change the speed of a run."""
-        body = _Pace(order.task, order.run, order.percent, order.fence)
-        return await self._order(worker, '/pace', body, timeout_s)
+        """Order a worker to change the speed of a run."""
+        body = _PaceBody(order.task, order.run, order.percent, order.fence)
+        return await self._send_order(worker, '/pace', body, timeout_s)
 
     async def hold(
         self,
@@ -180,8 +187,8 @@
         *,
         timeout_s: float,
     ) -> HoldReport:
-        """Extend the leases and look."""
-        body = _Hold(
+        """Extend the leases of a worker's runs and fetch its report."""
+        body = _HoldBody(
             fence=order.fence,
             last_seen=order.noted_end,
             expires_ms=order.expires_ms,
@@ -191,19 +198,19 @@
         if isinstance(answer, OrderOutcome):
             return HoldReport(answer)
         if not answer.is_success:
-            refused = _refusal(answer)
-            return HoldReport(refused.outcome, refused.clock_ms)
+            refusal = _to_order_answer(answer)
+            return HoldReport(refusal.outcome, refusal.clock_ms)
         try:
-            return _hold_report(decode_json(answer.body, _Lists))
+            return _to_hold_report(decode_json(answer.body, _HoldReply))
         except DecodeError as failure:
             _LOG.warning(
-                'hold unreadable',
+                'answer to a hold is unreadable',
                 worker=worker.worker_id,
                 error=str(failure),
             )
             return HoldReport(OrderOutcome.UNKNOWN)
 
-    async def _order(
+    async def _send_order(
         self,
         worker: WorkerAddress,
         path: str,
@@ -213,7 +220,7 @@
         answer = await self._send(worker, path, body, timeout_s)
         if isinstance(answer, OrderOutcome):
             return OrderAnswer(answer)
-        return _refusal(answer)
+        return _to_order_answer(answer)
 
     async def _send(
         self,
@@ -239,27 +246,30 @@
             return OrderOutcome.UNKNOWN
 
 
-def _refusal(answer: Answer) -> OrderAnswer:
-    """Return the outcome of an answer of any status."""
+def _to_order_answer(answer: Answer) -> OrderAnswer:
+    """Return the outcome that an answer's status and body stand for."""
     try:
-        body = decode_json(answer.body or b'{}', _Refused)
+        body = decode_json(answer.body or b'{}', _RefusalBody)
     except DecodeError:
-        body = _Refused()
-    outcome = _BY_STATUS.get(answer.status, OrderOutcome.UNKNOWN)
+        body = _RefusalBody()
+    outcome = _OUTCOME_BY_STATUS.get(answer.status, OrderOutcome.UNKNOWN)
     if answer.status == _CONFLICT:
         try:
-            outcome = _BY_REFUSAL[_Refusal(body.reason)]
+            outcome = _OUTCOME_BY_REASON[_RefusalReason(body.reason)]
         except ValueError:
-            _LOG.warning('refusal of an unknown kind', reason=body.reason)
+            _LOG.warning(
+                'worker refused an order for an unknown reason',
+                reason=body.reason,
+            )
             outcome = OrderOutcome.BAD_ORDER
     return OrderAnswer(outcome, body.clock_ms)
 
 
-def _hold_report(lists: _Lists) -> HoldReport:
+def _to_hold_report(reply: _HoldReply) -> HoldReport:
     return HoldReport(
         outcome=OrderOutcome.ACCEPTED,
-        clock_ms=lists.clock_ms,
-        born_ms=lists.born,
+        clock_ms=reply.clock_ms,
+        born_ms=reply.born,
         running=[
             RunReport(
                 task=TaskId(row.task),
@@ -268,24 +278,24 @@
                 percent=round(row.percent),
                 reading=round(row.reading),
             )
-            for row in lists.running
+            for row in reply.running
         ],
         ended=[
             EndReport(
                 number=row.number,
                 task=TaskId(row.task),
                 run=row.run,
-                how=_end(row.how),
+                how=_parse_run_end(row.how),
                 saved=row.saved,
             )
-            for row in lists.ended
+            for row in reply.ended
         ],
     )
 
 
-def _end(how: str) -> RunEnd:
+def _parse_run_end(how: str) -> RunEnd:
     try:
         return RunEnd(how)
     except ValueError:
-        _LOG.warning('end of an unknown kind', how=how)
+        _LOG.warning('unknown end of a run, taken as stopped', how=how)
         return RunEnd.STOPPED
--- a/src/marjoramwharf/platform/worker_listings.py
+++ b/src/marjoramwharf/platform/worker_listings.py
@@ -1,7 +1,8 @@
-"""The entries that workers write of themselves into the store.
+"""Decodes the listings that workers write of themselves into the store.
 
-An entry may come from another writer. One that can't be read, or that names
-a state that isn't known, names no worker to use.
+A key below ``servers/`` may have been written by someone else. A listing that
+can't be decoded, or whose state is unknown, raises ``BadListing``, so that the
+worker gets no runs.
 """
 
 from __future__ import annotations
@@ -31,15 +32,15 @@
 
 
 class _Capacity(Struct, frozen=True, rename='pascal'):
-    """``Cpu`` is in thousandths of a core, ``Gpu`` a count."""
+    """``Cpu`` is in millicores; ``Gpu`` is a number of accelerators."""
 
     cpu: int = 0
     mem_mb: int = 0
     gpu: int = 0
 
 
-class _Entry(Struct, frozen=True, rename='pascal'):
-    """``RemainingMs`` is only there while the worker drains."""
+class _ListingBody(Struct, frozen=True, rename='pascal'):
+    """``RemainingMs`` is present only while the worker drains."""
 
     service: str
     address: str
@@ -51,41 +52,41 @@
     machine: str = ''
 
 
-class _Birth(Struct, frozen=True):
+class _StartTimeBody(Struct, frozen=True):
     """``born`` is the Unix time of the worker's start in ms."""
 
     born: int = 0
 
 
 def worker_id_from_key(key: str) -> WorkerId:
-    """Return the id of the worker that a key is the entry of."""
+    """Return the id of the worker whose listing has this key."""
     return WorkerId(key.removeprefix(WORKERS_PREFIX))
 
 
 def decode_listing(key: str, raw: bytes) -> WorkerListing:
-    """Return the worker of an entry; raises ``BadListing``."""
+    """Decode the listing stored under ``key``; raises ``BadListing``."""
     try:
-        entry = decode_json(raw, _Entry)
-        birth = decode_json(raw, _Birth)
-        host, port = _split_address(entry.address)
+        listing = decode_json(raw, _ListingBody)
+        start_time = decode_json(raw, _StartTimeBody)
+        host, port = _split_address(listing.address)
     except (DecodeError, ValueError) as failure:
         raise BadListing(message=f'{key}: {failure}') from failure
     return WorkerListing(
         worker_id=worker_id_from_key(key),
-        service=entry.service,
+        service=listing.service,
         host=host,
         port=port,
-        data_centre=DataCentreId(entry.zone),
-        state=_STATES[entry.state],
+        data_centre=DataCentreId(listing.zone),
+        state=_STATES[listing.state],
         capacity=Room(
-            cpu_millicores=entry.capacity.cpu,
-            memory_mb=entry.capacity.mem_mb,
-            accelerators_count=entry.capacity.gpu,
+            cpu_millicores=listing.capacity.cpu,
+            memory_mb=listing.capacity.mem_mb,
+            accelerators_count=listing.capacity.gpu,
         ),
-        labels=entry.labels,
-        born_ms=birth.born,
-        remaining_ms=entry.remaining_ms,
-        machine=entry.machine,
+        labels=listing.labels,
+        born_ms=start_time.born,
+        remaining_ms=listing.remaining_ms,
+        machine=listing.machine,
     )
 
 
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform: store, instance list and workers."""
+"""Stand-ins for the platform's store, instance list and workers."""
--- a/standins/_worker_replies.py
+++ b/standins/_worker_replies.py
@@ -1,4 +1,4 @@
-"""Requests and replies of the stand-in for a worker's agent."""
+"""Reads requests and builds replies of the stand-in for a worker's agent."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def call_response(answer: CallAnswer) -> Response:
-    """Return an answer with its call id and digest."""
+    """Return a call's answer with its id and the digest of its body."""
     response = Response(
         answer.body,
         status=answer.status,
@@ -35,7 +35,7 @@
 
 
 def refusal_answer(call_id: CallId, refusal: WorkerRefusal) -> CallAnswer:
-    """Return the answer that proves that a call did not run."""
+    """Return the answer which proves that a call did not run."""
     body = msgspec.json.encode(Refused(refusal))
     return CallAnswer(call_id, 409, 'application/json', body)
 
@@ -50,7 +50,7 @@
 
 
 def unknown_task_report(task_id: str, fence: tuple[int, int]) -> TaskReport:
-    """Report an attempt that never ran."""
+    """Return the report of an attempt that never ran."""
     return TaskReport(
         TaskId(task_id),
         fence,
@@ -62,13 +62,13 @@
 
 async def read_request_body() -> bytes:
     """Return the body of the request that is being handled."""
-    return b''.join([part async for part in request.body])
+    return b''.join([chunk async for chunk in request.body])
 
 
 async def truncated_body(
-    half: bytes,
-    cut: Callable[[], Awaitable[None]],
+    part: bytes,
+    abort: Callable[[], Awaitable[None]],
 ) -> AsyncIterator[bytes]:
-    """Send half of a body, then cut the connection."""
-    yield half
-    await cut()
+    """Send part of a body, then abort the connection."""
+    yield part
+    await abort()
--- a/standins/directory.py
+++ b/standins/directory.py
@@ -1,7 +1,7 @@
 """Stand-in for the platform's list of instances.
 
 ``GET /instances`` returns the list as it was ``lag_ms`` ago. ``PUT
-/instances/<id>`` adds or changes an instance and ``DELETE /instances/<id>``
+/instances/<id>`` adds or replaces an instance and ``DELETE /instances/<id>``
 removes it. Run it as a process with ``python -m standins.directory --port
 2380 --lag-ms 1000``, or in a nursery with
 ``serve_app(DirectoryStandin(lag_s=0).app)``.
@@ -23,7 +23,7 @@
 
 
 class DirectoryStandin:
-    """The list with its history, as long as the lag needs it."""
+    """The list and as much of its history as the lag needs."""
 
     def __init__(self, *, lag_s: float = 0) -> None:
         """Start with an empty list at revision 0."""
@@ -34,7 +34,7 @@
         self.app = self._build_app()
 
     def put(self, worker: Worker, now_s: float) -> None:
-        """Add or change an instance."""
+        """Add or replace an instance."""
         self._latest[worker.worker_id] = worker
         self._record(now_s)
 
@@ -46,7 +46,7 @@
         return is_listed
 
     def listing(self, now_s: float) -> Listing:
-        """Return the list as it was before the lag."""
+        """Return the list as it was ``lag_s`` before ``now_s``."""
         visible = [
             index
             for index, (changed_at_s, _) in enumerate(self._history)
@@ -54,7 +54,7 @@
         ]
         if not visible:
             return Listing(0, ())
-        # Older lists are never shown again.
+        # Lists before the one in view are never returned again.
         self._history = self._history[visible[-1] :]
         return self._history[0][1]
 
--- a/standins/kv_state.py
+++ b/standins/kv_state.py
@@ -1,7 +1,7 @@
-"""State of the stand-in for the key-value service, without any transport.
+"""State of the stand-in for the key-value store, without any transport.
 
-It holds keys with revisions, leases and a history for watches. The present
-time is an argument, in seconds.
+It holds keys with revisions, leases and a history for watches. The current time
+is an argument, in seconds.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 
 
 class KeyValueState:
-    """Keys, leases and history; all changes go through ``apply``."""
+    """Keys, leases and history; ``apply`` makes every change of a key."""
 
     def __init__(self) -> None:
-        """Start empty at revision 1, as the published protocol does."""
+        """Start empty at revision 1, as the published protocol says."""
         self.revision = 1
         self.compacted_revision = 0
         self.stored: dict[str, StoredValue] = {}
@@ -44,16 +44,16 @@
         )
 
     def guards_hold(self, guards: Sequence[Guard]) -> bool:
-        """Tell whether every guard has its modification revision."""
+        """Return whether every key is still at the revision of its guard."""
         return all(
             self._revision_of(guard.key) == guard.mod_revision
             for guard in guards
         )
 
     def apply(self, writes: Iterable[Write]) -> int:
-        """Apply writes at one new revision and return it.
+        """Apply writes at one new revision and return that revision.
 
-        Raises ``ValueError`` for a value above 1 MB or a lease that is gone.
+        Raises ``ValueError`` for a value above 1 MB or a lease that has ended.
         """
         pending = tuple(writes)
         for write in pending:
@@ -63,7 +63,9 @@
                 raise ValueError('requested lease not found')
         self.revision += 1
         events = tuple(
-            event for event in map(self._write, pending) if event is not None
+            event
+            for event in map(self._apply_write, pending)
+            if event is not None
         )
         self.history.append((self.revision, events))
         return self.revision
@@ -86,7 +88,7 @@
         return list(reversed(found))
 
     def compact(self) -> None:
-        """Forget the history, so that older watches must read anew."""
+        """Drop the history, so that older watches must read all keys again."""
         self.compacted_revision = self.revision
         self.history.clear()
 
@@ -98,7 +100,7 @@
         return lease
 
     def keep_alive(self, lease: LeaseId, now_s: float) -> float:
-        """Extend a lease and return its time to live, 0 if it is gone."""
+        """Extend a lease and return its time to live, 0 if it has ended."""
         held = self._leases.get(lease)
         if held is None:
             return 0
@@ -112,7 +114,7 @@
             self.apply([Write(key, None) for key in sorted(held.keys)])
 
     def expire_due_leases(self, now_s: float) -> None:
-        """End the leases whose time is over."""
+        """End the leases that have expired and delete their keys."""
         for lease, held in tuple(self._leases.items()):
             if held.expires_at_s <= now_s:
                 self.revoke_lease(lease)
@@ -126,17 +128,17 @@
         stored = self.stored.get(key)
         return 0 if stored is None else stored.mod_revision
 
-    def _write(self, write: Write) -> StoreEvent | None:
-        former = self.stored.pop(write.key, None)
-        self._detach(write.key)
+    def _apply_write(self, write: Write) -> StoreEvent | None:
+        previous = self.stored.pop(write.key, None)
+        self._detach_from_lease(write.key)
         if write.body is None:
-            return None if former is None else StoreEvent(write.key, None)
+            return None if previous is None else StoreEvent(write.key, None)
         stored = StoredValue(
             key=write.key,
             body=write.body,
             mod_revision=self.revision,
             create_revision=(
-                self.revision if former is None else former.create_revision
+                self.revision if previous is None else previous.create_revision
             ),
         )
         self.stored[write.key] = stored
@@ -145,7 +147,7 @@
             self._lease_of_key[write.key] = write.lease
         return StoreEvent(write.key, stored)
 
-    def _detach(self, key: str) -> None:
+    def _detach_from_lease(self, key: str) -> None:
         lease = self._lease_of_key.pop(key, LeaseId(0))
         held = self._leases.get(lease)
         if held is not None:
--- a/standins/memory_store.py
+++ b/standins/memory_store.py
@@ -1,4 +1,4 @@
-"""An in-process store for tests, with the faults of the platform's service."""
+"""An in-process store for tests, with the faults of the platform's store."""
 
 from __future__ import annotations
 
@@ -25,9 +25,8 @@
 class MemoryStore:
     """Implements the ``Store`` interface on a ``KeyValueState``.
 
-    Faults: ``is_down`` refuses every call, ``answers_to_lose`` is the number
-    of coming commits that are applied and then answered with
-    ``StoreAnswerLost``, ``delay_s`` is waited before each call.
+    Faults: ``is_down`` refuses every call. The next ``answers_to_lose`` commits
+    are applied and then raise ``StoreAnswerLost``. Each call takes ``delay_s``.
     """
 
     def __init__(self, state: KeyValueState | None = None) -> None:
@@ -41,8 +40,8 @@
         self._changed = trio.Event()
 
     async def read(self, key: str, *, urgency: Urgency) -> StoredValue | None:
-        """Return a value."""
-        await self._enter()
+        """Return the value of a key, or ``None``."""
+        await self._begin_call()
         self.reads_count += 1
         return self.state.stored.get(key)
 
@@ -53,7 +52,7 @@
         urgency: Urgency,
     ) -> PrefixReading:
         """Return all values below a prefix."""
-        await self._enter()
+        await self._begin_call()
         self.reads_count += 1
         return PrefixReading(
             self.state.revision, self.state.values_below(prefix)
@@ -67,7 +66,7 @@
         urgency: Urgency,
     ) -> Committed | Conflict:
         """Apply the writes if the guards hold."""
-        await self._enter()
+        await self._begin_call()
         self.writes_count += 1
         outcome: Committed | Conflict = Conflict()
         if self.state.guards_hold(guards):
@@ -79,19 +78,19 @@
 
     async def grant_lease(self, ttl_s: int) -> LeaseId:
         """Create a lease."""
-        await self._enter()
+        await self._begin_call()
         return self.state.grant_lease(ttl_s, trio.current_time())
 
     async def keep_alive(self, lease: LeaseId) -> int:
-        """Extend a lease."""
-        await self._enter()
+        """Extend a lease and return its time to live in s, 0 if it ended."""
+        await self._begin_call()
         return int(self.state.keep_alive(lease, trio.current_time()))
 
     async def revoke_lease(self, lease: LeaseId) -> None:
-        """End a lease."""
-        await self._enter()
+        """End a lease and delete its keys."""
+        await self._begin_call()
         self.state.revoke_lease(lease)
-        self._wake()
+        self._notify_watches()
 
     @asynccontextmanager
     async def watch(
@@ -118,23 +117,23 @@
                 yield WatchBatch(at_revision, events)
             await changed.wait()
 
-    async def _enter(self) -> None:
+    async def _begin_call(self) -> None:
         await trio.sleep(self.delay_s)
         if self.is_down:
             raise StoreUnavailable(message='the store is down')
         before = self.state.revision
         self.state.expire_due_leases(trio.current_time())
         if self.state.revision != before:
-            self._wake()
+            self._notify_watches()
 
     def _apply(self, writes: Sequence[Write]) -> int:
         try:
             revision = self.state.apply(writes)
         except ValueError as failure:
             raise StoreUnavailable(message=str(failure)) from failure
-        self._wake()
+        self._notify_watches()
         return revision
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
--- a/standins/platform_endpoints.py
+++ b/standins/platform_endpoints.py
@@ -1,7 +1,7 @@
-"""The wire of the stand-in platform: store and workers over HTTP.
+"""HTTP endpoints of the stand-in platform: the store and the workers.
 
-The names are those of the users' platform; the state behind them is that of
-``kv_state`` and ``run_worker``.
+Paths and bodies are those of the users' platform; the state behind them is that
+of ``kv_state`` and ``simulated_worker``.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 from standins.simulated_worker import SimulatedWorker
 
 _MS_PER_S = 1_000
-_PAGE_COUNT = 500
-_STEP_S = 0.005
+_PAGE_ITEMS_COUNT = 500
+_POLL_INTERVAL_S = 0.005
 
-_REASONS = {
+_REFUSAL_REASONS = {
     OrderOutcome.FENCED: 'fence',
     OrderOutcome.RUN_TOO_OLD: 'old',
     OrderOutcome.TOO_LATE: 'late',
@@ -48,10 +48,10 @@
 
 @dataclass
 class StoreEndpoint:
-    """Serves a ``KeyValueState``.
+    """Serves a ``KeyValueState`` over HTTP.
 
-    ``refuse`` answers every call with 503. Of the coming writes,
-    ``answers_to_lose`` are carried out on a connection that is then cut.
+    ``refuse`` answers every call with 503. The next ``answers_to_lose`` writes
+    are carried out, and their connections aborted without an answer.
     """
 
     state: KeyValueState = field(default_factory=KeyValueState)
@@ -71,13 +71,15 @@
         call = f'{request.method} {parts.path}'
         if call == 'GET /kv-watch':
             return await self._watch(query)
-        reply = self._reads(call, query) or self._writes(call, body)
+        reply = self._answer_read(call, query) or self._answer_write(call, body)
         if request.method == 'POST' and self.answers_to_lose:
             self.answers_to_lose -= 1
             raise trio.BrokenResourceError
         return reply
 
-    def _reads(self, call: str, query: dict[str, str]) -> HttpReply | None:
+    def _answer_read(
+        self, call: str, query: dict[str, str]
+    ) -> HttpReply | None:
         if call == 'GET /kv-key':
             stored = self.state.stored.get(query['Key'])
             if stored is None:
@@ -91,14 +93,16 @@
             ]
             return json_reply(
                 {
-                    'items': [self._item(one) for one in found[:_PAGE_COUNT]],
-                    'HasMore': len(found) > _PAGE_COUNT,
+                    'items': [
+                        self._item(one) for one in found[:_PAGE_ITEMS_COUNT]
+                    ],
+                    'HasMore': len(found) > _PAGE_ITEMS_COUNT,
                     'CurrentRev': self.state.revision,
                 },
             )
         return None
 
-    def _writes(self, call: str, body: dict[str, Any]) -> HttpReply:
+    def _answer_write(self, call: str, body: dict[str, Any]) -> HttpReply:
         now_s = trio.current_time()
         verb, _, argument = call.rpartition('/')
         if call == 'POST /kv-txn':
@@ -108,9 +112,9 @@
             lease = self.state.grant_lease(ttl_s, now_s)
             return json_reply({'Lease': lease, 'TtlMs': body['TtlMs']})
         if verb == 'POST /kv-keep':
-            left_s = self.state.keep_alive(LeaseId(int(argument)), now_s)
+            ttl_left_s = self.state.keep_alive(LeaseId(int(argument)), now_s)
             return json_reply(
-                {'TtlMs': left_s * _MS_PER_S}, 200 if left_s else 404
+                {'TtlMs': ttl_left_s * _MS_PER_S}, 200 if ttl_left_s else 404
             )
         if verb == 'DELETE /kv-lease-end':
             self.state.revoke_lease(LeaseId(int(argument)))
@@ -144,13 +148,13 @@
 
     async def _watch(self, query: dict[str, str]) -> HttpReply:
         after = int(query['After'])
-        until_s = trio.current_time() + int(query['WaitMs']) / _MS_PER_S
+        deadline_s = trio.current_time() + int(query['WaitMs']) / _MS_PER_S
         if after < self.state.compacted_revision:
             return json_reply({}, 410)
         while True:
             self.state.expire_due_leases(trio.current_time())
             found = self.state.changes_after(after, query['Prefix'])
-            if found or trio.current_time() > until_s:
+            if found or trio.current_time() > deadline_s:
                 events = [
                     self._event(event, revision)
                     for revision, batch in found
@@ -159,7 +163,7 @@
                 return json_reply(
                     {'events': events, 'CurrentRev': self.state.revision},
                 )
-            await trio.sleep(_STEP_S)
+            await trio.sleep(_POLL_INTERVAL_S)
 
     def _event(self, event: StoreEvent, revision: int) -> dict[str, Any]:
         if event.stored is None:
@@ -180,8 +184,8 @@
 class WorkerEndpoint:
     """Serves a ``SimulatedWorker``, and its starts at ``/starts`` for checks.
 
-    Of the coming starts, ``start_answers_to_lose`` are carried out on a connection
-    that is then cut.
+    The next ``start_answers_to_lose`` starts are carried out, and their
+    connections aborted without an answer.
     """
 
     worker: SimulatedWorker
@@ -207,7 +211,7 @@
         if path == '/run-start' and self.start_answers_to_lose:
             self.start_answers_to_lose -= 1
             raise trio.BrokenResourceError
-        reason = _REASONS.get(answer.outcome)
+        reason = _REFUSAL_REASONS.get(answer.outcome)
         if reason is None:
             return json_reply({'ClockMs': answer.clock_ms})
         return json_reply({'ClockMs': answer.clock_ms, 'Reason': reason}, 409)
@@ -247,12 +251,12 @@
             expires_ms=body.get('ExpiresMs'),
             wait_ms=body.get('WaitMs', 0),
         )
-        until_s = trio.current_time() + order.wait_ms / _MS_PER_S
+        deadline_s = trio.current_time() + order.wait_ms / _MS_PER_S
         report = self.worker.hold(order, trio.current_time())
-        while not report.ended and trio.current_time() < until_s:
+        while not report.ended and trio.current_time() < deadline_s:
             if report.outcome is OrderOutcome.FENCED:
                 return json_reply({'Reason': 'fence'}, 409)
-            await trio.sleep(_STEP_S)
+            await trio.sleep(_POLL_INTERVAL_S)
             report = self.worker.hold(order, trio.current_time())
         return json_reply(
             {
--- a/standins/platform_process.py
+++ b/standins/platform_process.py
@@ -2,8 +2,8 @@
 
     python -m standins.platform_process --port 7000 --workers 4
 
-The store listens on the port, workers on the ports after it. The workers are
-listed and a configuration is in force from the start.
+The store listens on the given port and the workers on those after it. The
+listings of the workers and a configuration are stored from the start.
 """
 
 from __future__ import annotations
@@ -48,9 +48,9 @@
     *,
     store: str,
 ) -> str:
-    """Return the settings file of an entry.
+    """Return the content of an entry's settings file.
 
-    ``ports`` are those for callers, for readiness and for peers.
+    ``ports`` are those for callers, for readiness checks and for peers.
     """
     return _SETTINGS.format(
         name=name,
@@ -80,7 +80,7 @@
 
 
 def worker_listing(port: int, rack: str) -> bytes:
-    """Return what a worker writes of itself."""
+    """Return the listing that a worker writes of itself into the store."""
     body = {
         'Service': _SERVICE,
         'Address': f'{HOST}:{port}',
@@ -95,14 +95,14 @@
 
 
 async def serve_platform(port: int, workers_count: int) -> None:
-    """Serve store and workers until cancelled."""
+    """Serve the store and the workers until cancelled."""
     store = StoreEndpoint()
     store.state.apply([Write('op/config', configuration(1))])
     async with trio.open_nursery() as nursery:
         for number in range(1, workers_count + 1):
-            wire = WorkerEndpoint(SimulatedWorker(trio.current_time()))
+            endpoint = WorkerEndpoint(SimulatedWorker(trio.current_time()))
             listener = await open_listener(HOST, port + number)
-            nursery.start_soon(HttpServer(wire.handle).serve, listener)
+            nursery.start_soon(HttpServer(endpoint.handle).serve, listener)
             rack = 'r1' if number % 2 else 'r2'
             entry = worker_listing(port + number, rack)
             store.state.apply([Write(f'servers/w{number}', entry)])
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serving of a stand-in's HTTP application on loopback."""
+"""Serves a stand-in's HTTP application, in a nursery or as a process."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hypercorn.trio import serve
 from quart_trio import QuartTrio
 
-# Streams that are still open when a stand-in stops are cut after this time.
+# Connections that are open when a stand-in stops are aborted after this time.
 _GRACE_S = 0.1
 
 
@@ -21,9 +21,9 @@
     port: int = 0,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until cancelled and report the base URL once it listens.
+    """Serve until cancelled; the task status is the base URL.
 
-    Port 0 takes a free port of the system.
+    Port 0 lets the system choose a free port.
 
         url = await nursery.start(serve_app, app)
     """
@@ -37,7 +37,7 @@
 
 
 def standin_options(program: str) -> argparse.ArgumentParser:
-    """Return the options that every stand-in process has."""
+    """Return a parser with the options that every stand-in process has."""
     parser = argparse.ArgumentParser(prog=program)
     parser.add_argument('--host', default='127.0.0.1')
     parser.add_argument('--port', type=int, required=True)
--- a/standins/simulated_worker.py
+++ b/standins/simulated_worker.py
@@ -1,9 +1,10 @@
-"""State of a stand-in worker that runs tasks under leases and fences.
+"""A stand-in worker that runs tasks under leases and fences, without HTTP.
 
-A task's payload says what it does: ``ms=150`` runs for 150 ms, with
-``more=20`` each task of a step for 20 ms more than the one before, ``fail``
-ends as failed after that time, and ``hang`` makes no progress. The present
-time is an argument; the worker's own clock is that time less its birth.
+A task's payload controls the run: ``ms=150`` makes it take 150 ms, and with
+``more=20`` each task of a step takes 20 ms longer than the one before. ``fail``
+makes it end as failed after that time; with ``hang`` or ``last`` it makes no
+progress. The current time is an argument; the worker's own clock starts at 0
+when the worker starts.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
     number: int
     payload: str
     started_s: float
-    length_ms: float
+    duration_ms: float
     pace_percent: int = _FULL_PERCENT
 
 
@@ -46,10 +47,10 @@
 class SimulatedWorker:
     """One incarnation of a worker.
 
-    ``starts`` keeps every start that was carried out, ``start_times`` when,
-    and ``acknowledged_completions`` the tasks whose end as done was noted, with the time of
-    that end; all are for checks.
-    ``capacity`` is the number of runs that it takes at a time.
+    ``capacity`` is the number of concurrent runs. Three lists are for the checks
+    of tests: ``starts`` has every start that was carried out, ``start_times``
+    their times, and ``acknowledged_completions`` the tasks whose end as done the
+    owner has acknowledged, with the time of that end.
     """
 
     born_s: float
@@ -63,40 +64,40 @@
     acknowledged_completions: list[tuple[TaskId, float]] = field(
         default_factory=list
     )
-    _ended: list[EndReport] = field(default_factory=list)
-    _floor: dict[TaskId, int] = field(default_factory=dict)
-    _next_end: int = 1
+    _unacknowledged_ends: list[EndReport] = field(default_factory=list)
+    _highest_refused_run: dict[TaskId, int] = field(default_factory=dict)
+    _next_end_number: int = 1
     _end_times: dict[int, float] = field(default_factory=dict)
     _now_s: float = 0
 
     def clock_ms(self, now_s: float) -> int:
-        """Return what the worker's own clock reads."""
+        """Return the time of the worker's own clock."""
         return int((now_s - self.born_s) * _MS_PER_S)
 
     def advance(self, now_s: float) -> None:
-        """End what is over by now."""
+        """End the runs that are complete, and all if the lease has expired."""
         self._now_s = now_s
         if self.running and self.clock_ms(now_s) > self.lease_end_ms:
             for run in tuple(self.running.values()):
-                self._end(run, RunEnd.LAPSED)
+                self._end_run(run, RunEnd.LAPSED)
         for run in tuple(self.running.values()):
-            if self._percent(run, now_s) >= _FULL_PERCENT:
+            if self._progress_percent(run, now_s) >= _FULL_PERCENT:
                 failed = 'fail' in run.payload
-                self._end(run, RunEnd.FAILED if failed else RunEnd.DONE)
+                self._end_run(run, RunEnd.FAILED if failed else RunEnd.DONE)
 
     def start(self, order: StartOrder, now_s: float) -> OrderAnswer:
-        """Carry out an order to start a run."""
+        """Start a run, or refuse the order."""
         self.advance(now_s)
         clock_ms = self.clock_ms(now_s)
-        if not self._admit(order.fence):
+        if not self._accept_fence(order.fence):
             return OrderAnswer(OrderOutcome.FENCED, clock_ms)
         if order.expires_ms <= clock_ms:
             return OrderAnswer(OrderOutcome.TOO_LATE, clock_ms)
-        self._extend(order.expires_ms, clock_ms)
-        known = self.running.get(order.task)
-        if known is not None and known.number == order.run:
+        self._extend_lease(order.expires_ms, clock_ms)
+        run = self.running.get(order.task)
+        if run is not None and run.number == order.run:
             return OrderAnswer(OrderOutcome.ACCEPTED, clock_ms)
-        if order.run <= self._floor.get(order.task, 0):
+        if order.run <= self._highest_refused_run.get(order.task, 0):
             return OrderAnswer(OrderOutcome.RUN_TOO_OLD, clock_ms)
         if len(self.running) >= self.capacity:
             return OrderAnswer(OrderOutcome.NO_ROOM, clock_ms)
@@ -112,36 +113,36 @@
         return OrderAnswer(OrderOutcome.ACCEPTED, clock_ms)
 
     def stop(self, order: StopOrder, now_s: float) -> OrderAnswer:
-        """Carry out an order to stop a run, and refuse it from then on."""
+        """Stop a run and refuse it and earlier ones from then on."""
         self.advance(now_s)
         clock_ms = self.clock_ms(now_s)
-        if not self._admit(order.fence):
+        if not self._accept_fence(order.fence):
             return OrderAnswer(OrderOutcome.FENCED, clock_ms)
-        self._raise_floor(order.task, order.run)
-        known = self.running.get(order.task)
-        if known is not None and known.number <= order.run:
-            self._end(known, RunEnd.STOPPED)
+        self._refuse_runs_up_to(order.task, order.run)
+        run = self.running.get(order.task)
+        if run is not None and run.number <= order.run:
+            self._end_run(run, RunEnd.STOPPED)
         return OrderAnswer(OrderOutcome.ACCEPTED, clock_ms)
 
     def pace(self, order: PaceOrder, now_s: float) -> OrderAnswer:
-        """Carry out an order to change the pace of a run."""
+        """Change the pace of a run."""
         self.advance(now_s)
-        if not self._admit(order.fence):
+        if not self._accept_fence(order.fence):
             return OrderAnswer(OrderOutcome.FENCED, self.clock_ms(now_s))
-        known = self.running.get(order.task)
-        if known is not None:
-            known.pace_percent = order.percent
+        run = self.running.get(order.task)
+        if run is not None:
+            run.pace_percent = order.percent
         return OrderAnswer(OrderOutcome.ACCEPTED, self.clock_ms(now_s))
 
     def hold(self, order: HoldOrder, now_s: float) -> HoldReport:
-        """Extend the leases and report."""
+        """Extend the lease and report all runs and unacknowledged ends."""
         self.advance(now_s)
         clock_ms = self.clock_ms(now_s)
-        if not self._admit(order.fence):
+        if not self._accept_fence(order.fence):
             return HoldReport(OrderOutcome.FENCED, clock_ms)
         if order.expires_ms is not None:
-            self._extend(order.expires_ms, clock_ms)
-        self._forget(order.noted_end)
+            self._extend_lease(order.expires_ms, clock_ms)
+        self._remove_acknowledged(order.noted_end)
         return HoldReport(
             outcome=OrderOutcome.ACCEPTED,
             clock_ms=clock_ms,
@@ -151,59 +152,63 @@
                     run.task,
                     run.number,
                     '',
-                    int(min(_FULL_PERCENT, self._percent(run, now_s))),
+                    int(min(_FULL_PERCENT, self._progress_percent(run, now_s))),
                     0,
                 )
                 for run in self.running.values()
             ],
-            ended=tuple(self._ended),
+            ended=tuple(self._unacknowledged_ends),
         )
 
     @property
     def has_unacknowledged_ends(self) -> bool:
-        """Whether ends wait to be noted."""
-        return bool(self._ended)
+        """Whether the owner has ends left to acknowledge."""
+        return bool(self._unacknowledged_ends)
 
-    def _forget(self, noted_end: int) -> None:
-        for ended in self._ended:
+    def _remove_acknowledged(self, noted_end: int) -> None:
+        for ended in self._unacknowledged_ends:
             if ended.number <= noted_end and ended.how is RunEnd.DONE:
                 ended_s = self._end_times[ended.number]
                 self.acknowledged_completions.append((ended.task, ended_s))
-        self._ended = [
-            ended for ended in self._ended if ended.number > noted_end
+        self._unacknowledged_ends = [
+            ended
+            for ended in self._unacknowledged_ends
+            if ended.number > noted_end
         ]
 
-    def _admit(self, fence: int) -> bool:
+    def _accept_fence(self, fence: int) -> bool:
         if fence < self.fence:
             return False
         self.fence = fence
         return True
 
-    def _extend(self, expires_ms: int, clock_ms: int) -> None:
+    def _extend_lease(self, expires_ms: int, clock_ms: int) -> None:
         allowed_ms = min(expires_ms, clock_ms + self.max_hold_ms)
         self.lease_end_ms = max(self.lease_end_ms, allowed_ms)
 
-    def _percent(self, run: _Run, now_s: float) -> float:
+    def _progress_percent(self, run: _Run, now_s: float) -> float:
         if 'hang' in run.payload or 'last' in run.payload:
             return 0
         passed_ms = (now_s - run.started_s) * _MS_PER_S
-        return _FULL_PERCENT * passed_ms / run.length_ms
+        return _FULL_PERCENT * passed_ms / run.duration_ms
 
-    def _end(self, run: _Run, how: RunEnd) -> None:
+    def _end_run(self, run: _Run, how: RunEnd) -> None:
         self.running.pop(run.task, None)
-        self._raise_floor(run.task, run.number)
-        self._ended.append(
-            EndReport(self._next_end, run.task, run.number, how, ''),
+        self._refuse_runs_up_to(run.task, run.number)
+        self._unacknowledged_ends.append(
+            EndReport(self._next_end_number, run.task, run.number, how, ''),
         )
-        self._end_times[self._next_end] = self._now_s
-        self._next_end += 1
+        self._end_times[self._next_end_number] = self._now_s
+        self._next_end_number += 1
 
-    def _raise_floor(self, task: TaskId, number: int) -> None:
-        self._floor[task] = max(self._floor.get(task, 0), number)
+    def _refuse_runs_up_to(self, task: TaskId, number: int) -> None:
+        self._highest_refused_run[task] = max(
+            self._highest_refused_run.get(task, 0), number
+        )
 
 
 def _duration_ms(order: StartOrder) -> float:
-    """Return how long a task runs at full pace."""
+    """Return how long a task runs at full pace, from its payload."""
     found = _DURATION.search(order.payload)
     duration_ms = float(found.group(1)) if found else _DEFAULT_MS
     increase = _INCREASE.search(order.payload)
--- a/standins/simulated_worker_client.py
+++ b/standins/simulated_worker_client.py
@@ -1,4 +1,4 @@
-"""In-process calls to stand-in workers, with the faults of the real ones."""
+"""An in-process client of simulated workers, with the faults of real calls."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from standins.simulated_worker import SimulatedWorker
 
 _MS_PER_S = 1_000
-_STEP_S = 0.01
+_POLL_INTERVAL_S = 0.01
 
 _Reply = TypeVar('_Reply')
 
@@ -32,11 +32,11 @@
 class MemoryWorkerClient:
     """Implements ``WorkerCalls`` on a table of ``SimulatedWorker``.
 
-    ``unreachable`` workers answer nothing. The next ``start_answers_to_lose`` starts
-    and ``hold_answers_to_lose`` are carried out without an answer; the next
-    ``starts_to_repeat`` starts are carried out twice, as by a client that sends
-    a call again; ``starts_to_delay`` starts wait in
-    ``delayed_orders`` until they are called.
+    Calls to ``unreachable`` workers get no answer. The next
+    ``start_answers_to_lose`` starts and ``hold_answers_to_lose`` holds are carried
+    out without an answer; the next ``starts_to_repeat`` starts are carried out
+    twice, as by a client that sends a call again. The next ``starts_to_delay``
+    starts wait in ``delayed_orders`` until a test calls them.
     """
 
     workers: dict[WorkerId, SimulatedWorker]
@@ -56,7 +56,7 @@
         *,
         timeout_s: float,
     ) -> OrderAnswer:
-        """Start a run."""
+        """Order a worker to start a run."""
         carry_out = partial(self._start, worker.worker_id, order)
         if self.starts_to_delay:
             self.starts_to_delay -= 1
@@ -81,7 +81,7 @@
         *,
         timeout_s: float,
     ) -> OrderAnswer:
-        """Stop a run."""
+        """Order a worker to stop a run."""
         answer = await self._reach(
             worker.worker_id,
             lambda: self._worker(worker.worker_id).stop(
@@ -99,7 +99,7 @@
         *,
         timeout_s: float,
     ) -> OrderAnswer:
-        """Change the pace of a run."""
+        """Order a worker to change the pace of a run."""
         answer = await self._reach(
             worker.worker_id,
             lambda: self._worker(worker.worker_id).pace(
@@ -117,20 +117,20 @@
         *,
         timeout_s: float,
     ) -> HoldReport:
-        """Hold a worker; waits for an end as the real ones do."""
-        until_s = trio.current_time() + order.wait_ms / _MS_PER_S
+        """Extend a worker's lease and wait for an end, as real workers do."""
+        deadline_s = trio.current_time() + order.wait_ms / _MS_PER_S
         while True:
-            look = partial(self._hold, worker.worker_id, order)
-            report = await self._reach(worker.worker_id, look, timeout_s)
+            send_hold = partial(self._hold, worker.worker_id, order)
+            report = await self._reach(worker.worker_id, send_hold, timeout_s)
             if report is not None and self.hold_answers_to_lose:
                 self.hold_answers_to_lose -= 1
                 await trio.sleep(timeout_s)
                 report = None
             if report is None:
                 return HoldReport(OrderOutcome.UNKNOWN)
-            if report.ended or trio.current_time() >= until_s:
+            if report.ended or trio.current_time() >= deadline_s:
                 return report
-            await trio.sleep(_STEP_S)
+            await trio.sleep(_POLL_INTERVAL_S)
 
     def _start(self, worker_id: WorkerId, order: StartOrder) -> OrderAnswer:
         return self._worker(worker_id).start(order, trio.current_time())
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,8 +1,8 @@
 """The stand-in for a worker's agent, over HTTP.
 
 It runs as a process (``python -m standins.worker --config FILE``) or in the
-nursery of a test (``await nursery.start(serve_worker, config)``). A service's
-answer is the body of its request, so that callers can check what they got.
+nursery of a test (``await nursery.start(serve_worker, config)``). A service
+answers with the body of the request, so that callers can check the answer.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 )
 
 _MS_PER_S = 1_000
-# Long, so that few requests meet a connection that is being closed.
+# Long, so that a request rarely arrives while its connection is being closed.
 _KEEP_ALIVE_S = 60
 
 
@@ -69,26 +69,26 @@
 
 
 @dataclass(slots=True)
-class _Running:
+class _RunningCall:
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     ended: trio.Event = field(default_factory=trio.Event)
 
 
 class WorkerServer:
-    """Connections, running calls and handlers of one stand-in."""
+    """Holds the connections and running calls of one stand-in."""
 
     def __init__(self, config: WorkerConfig, nursery: trio.Nursery) -> None:
-        """Calls run in ``nursery``, so they outlive their connections."""
+        """Run calls in ``nursery``, so that they outlive their connections."""
         self.state = WorkerState(config, time.monotonic())
         self._nursery = nursery
         self._connections: dict[tuple[str, int], _Connection] = {}
-        self._running: dict[CallId, _Running] = {}
+        self._running: dict[CallId, _RunningCall] = {}
         self._faults_changed = trio.Event()
-        self._other_answer: CallAnswer | None = None
+        self._previous_answer: CallAnswer | None = None
         self._hypercorn = Config()
         self._hypercorn.keep_alive_timeout = _KEEP_ALIVE_S
         self._hypercorn.errorlog = None
-        self._app = ASGIWrapper(_routes(self))
+        self._app = ASGIWrapper(_build_app(self))
 
     async def accept(self, stream: trio.SocketStream) -> None:
         """Serve one connection, or close it if the limit is reached."""
@@ -97,15 +97,20 @@
             history.refused_connections_count += 1
             await trio.aclose_forcefully(stream)
             return
-        peer = stream.socket.getpeername()[:2]
+        client_address = stream.socket.getpeername()[:2]
         connection = _Connection(stream)
-        self._connections[peer] = connection
+        self._connections[client_address] = connection
         history.peak_connections_count = max(
             history.peak_connections_count,
             len(self._connections),
         )
         with ExitStack() as stack:
-            stack.callback(_forget, self._connections, peer, connection)
+            stack.callback(
+                _discard_connection,
+                self._connections,
+                client_address,
+                connection,
+            )
             await TCPServer(
                 self._app,
                 self._hypercorn,
@@ -115,29 +120,29 @@
             )
 
     async def apply_request_faults(self) -> Response | None:
-        """Apply the link and a hang to a request that was received."""
+        """Delay a received request or lose it, and apply a ``hang`` fault."""
         if request.path in {'/faults', '/record'}:
             return None
         config = self.state.config
-        connection = self._connections[_peer()]
+        connection = self._connections[_client_address()]
         connection.entry_id = EntryId(request.headers.get('X-Entry-Id', ''))
         await trio.sleep(self._one_way_s())
         if self.state.random.random() < config.loss_share / 2:
-            await self._cut()
+            await self._abort_connection()
             return Response('', status=503)
         if not request.path.startswith('/run/'):
             await self._wait_for_hang()
         return None
 
     async def apply_response_faults(self, response: Response) -> Response:
-        """Apply the link to an answer."""
+        """Add the incarnation to an answer, and delay or lose it."""
         response.headers[INCARNATION_HEADER] = self.state.incarnation
         if request.path in {'/faults', '/record'}:
             return response
         config = self.state.config
         await trio.sleep(self._one_way_s())
         if self.state.random.random() < config.loss_share / 2:
-            await self._cut()
+            await self._abort_connection()
         return response
 
     def _one_way_s(self) -> float:
@@ -147,7 +152,7 @@
         return delay_ms / _MS_PER_S
 
     async def run(self, service: str) -> Response:
-        """Run a call; it goes on if its connection breaks."""
+        """Run a call, which goes on if its connection breaks."""
         body = await read_request_body()
         record = CallRecord(
             call_id=CallId(request.headers['X-Call-Id']),
@@ -165,7 +170,7 @@
         if refusal is not None:
             return call_response(refusal_answer(record.call_id, refusal))
         content_type = request.headers.get('Content-Type', '')
-        running = _Running()
+        running = _RunningCall()
         self._running[record.call_id] = running
         self._nursery.start_soon(
             self._execute,
@@ -174,14 +179,14 @@
             running,
         )
         await running.ended.wait()
-        return await self._answer_of(record.call_id)
+        return await self._build_answer(record.call_id)
 
     async def settle(self, call_id: str) -> Response:
-        """Say what became of a call."""
+        """Return the state and the answer of a call."""
         return as_json(self.state.settle(CallId(call_id)))
 
     async def cancel(self, call_id: str) -> Response:
-        """Stop a call and say what became of it."""
+        """Cancel a call if it runs, then return its state and answer."""
         running = self._running.get(CallId(call_id))
         if running is not None:
             running.scope.cancel()
@@ -189,7 +194,7 @@
         return as_json(self.state.settle(CallId(call_id)))
 
     async def lease(self) -> Response:
-        """Fence, extend and report."""
+        """Fence older epochs, extend the lease and report what runs."""
         body = await read_request_body()
         call = msgspec.json.decode(body, type=LeaseCall)
         running = self.state.lease(
@@ -214,19 +219,19 @@
         )
 
     async def set_faults(self) -> Response:
-        """Replace the faults; a call under a lifted hang goes on."""
+        """Replace the faults; calls waiting for a hang to end go on."""
         body = await read_request_body()
         self.apply_faults(msgspec.json.decode(body, type=Faults))
         return as_json(self.state.faults)
 
     def apply_faults(self, faults: Faults) -> None:
-        """Replace the faults from within the process."""
+        """Replace the faults from within the process, without HTTP."""
         self.state.replace_faults(faults, time.monotonic())
         self._faults_changed.set()
         self._faults_changed = trio.Event()
 
     async def record(self) -> Response:
-        """Return the history."""
+        """Return the worker's history."""
         self.state.tasks.advance(time.monotonic())
         return as_json(self.state.history)
 
@@ -234,7 +239,7 @@
         self,
         record: CallRecord,
         answer: CallAnswer,
-        running: _Running,
+        running: _RunningCall,
     ) -> None:
         ended: CallAnswer | None = None
         with running.scope:
@@ -248,22 +253,26 @@
         self._running.pop(record.call_id)
         running.ended.set()
 
-    async def _answer_of(self, call_id: CallId) -> Response:
-        """Return the answer, another call's, a cut one or none."""
+    async def _build_answer(self, call_id: CallId) -> Response:
+        """Return the answer to a call, as the faults have it.
+
+        It may be the answer to the previous call or a truncated one. A cancelled
+        call has none, and its connection is aborted.
+        """
         answer = self.state.answers.get(call_id)
         if answer is None:
-            await self._cut()
+            await self._abort_connection()
             return Response('', status=503)
-        other = self._other_answer
-        self._other_answer = answer
+        previous = self._previous_answer
+        self._previous_answer = answer
         draw = self.state.random.random
-        if other and draw() < self.state.faults.cross_answers_share:
-            return call_response(other)
+        if previous and draw() < self.state.faults.cross_answers_share:
+            return call_response(previous)
         response = call_response(answer)
         if draw() < self.state.faults.cut_answers_share:
-            half = answer.body[: len(answer.body) // 2]
+            first_half = answer.body[: len(answer.body) // 2]
             response.response = response.iterable_body_class(
-                truncated_body(half, self._cut),
+                truncated_body(first_half, self._abort_connection),
             )
         return response
 
@@ -271,18 +280,18 @@
         while self.state.faults.hang:
             await self._faults_changed.wait()
 
-    async def _cut(self) -> None:
-        """Cut the request's connection; it counts as closed at once."""
-        connection = self._connections.pop(_peer(), None)
+    async def _abort_connection(self) -> None:
+        """Abort the request's connection, which counts as closed at once."""
+        connection = self._connections.pop(_client_address(), None)
         if connection is not None:
             await trio.aclose_forcefully(connection.stream)
 
 
 class TaskRoutes:
-    """Handlers of the calls about tasks and usage."""
+    """Handles the requests about tasks and usage."""
 
     def __init__(self, state: WorkerState) -> None:
-        """Serve the tasks of ``state``."""
+        """Handle requests on ``state``."""
         self._state = state
 
     async def start_task(self, task_id: str) -> Response:
@@ -307,7 +316,7 @@
         return as_json(report or unknown_task_report(task_id, call.fence))
 
     async def throttle_task(self, task_id: str) -> Response:
-        """Limit the processors of a task."""
+        """Limit a task to a share of its processors."""
         body = await read_request_body()
         call = msgspec.json.decode(body, type=ThrottleCall)
         report = self._state.tasks.throttle(
@@ -318,7 +327,7 @@
         return as_json(report or unknown_task_report(task_id, (0, 0)))
 
     async def usage(self) -> Response:
-        """Return the lagging usage report."""
+        """Return the usage report, which lags by ``usage_lag_ms``."""
         return as_json(self._state.usage(time.monotonic()))
 
 
@@ -329,7 +338,7 @@
         tuple[str, WorkerServer]
     ] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until cancelled; the status value is the URL and the server."""
+    """Serve until cancelled; the task status is the URL and the server."""
     async with trio.open_nursery() as nursery:
         server = WorkerServer(config, nursery)
         listeners = await trio.open_tcp_listeners(
@@ -342,7 +351,7 @@
 
 
 def main() -> None:
-    """Run one stand-in with the settings of a file."""
+    """Run one stand-in worker with the settings of a file."""
     parser = argparse.ArgumentParser(description='Stand-in for a worker.')
     parser.add_argument('--config', type=pathlib.Path, required=True)
     path: pathlib.Path = parser.parse_args().config
@@ -352,23 +361,23 @@
         sys.exit(130)
 
 
-def _forget(
+def _discard_connection(
     connections: dict[tuple[str, int], _Connection],
-    peer: tuple[str, int],
+    client_address: tuple[str, int],
     connection: _Connection,
 ) -> None:
-    """Drop a connection unless a new one has the same address."""
-    if connections.get(peer) is connection:
-        connections.pop(peer)
+    """Remove a connection unless a new one has taken its address."""
+    if connections.get(client_address) is connection:
+        connections.pop(client_address)
 
 
-def _peer() -> tuple[str, int]:
-    """Return the client's address of the request that is being handled."""
+def _client_address() -> tuple[str, int]:
+    """Return the address that the handled request came from."""
     host, port = request.scope['client'] or ('', 0)
     return (host, port or 0)
 
 
-def _routes(server: WorkerServer) -> QuartTrio:
+def _build_app(server: WorkerServer) -> QuartTrio:
     app = QuartTrio(__name__)
     tasks = TaskRoutes(server.state)
     app.before_request(server.apply_request_faults)
--- a/standins/worker_state.py
+++ b/standins/worker_state.py
@@ -1,8 +1,8 @@
 """State of the stand-in for a worker, without any transport.
 
-It admits calls within the slots, remembers each call id for settlement, runs
-tasks and keeps the history that tests and the measuring tool take as truth.
-Times are monotonic seconds and are passed in.
+It admits calls while slots are free, keeps each call id for settlement, runs
+tasks and records the history that tests and the measuring tool check against.
+Times are arguments, in monotonic seconds.
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
     """Settings of one stand-in.
 
     ``service_ms`` and ``service_sigma`` are the median and the shape of the
-    log-normal service time. ``slowdown`` maps a service to the factor that
-    each running task class multiplies its time by. ``entry_delays_ms`` has the
-    one-way delay to an entry; the others have ``link_delay_ms``.
+    log-normal service time. ``slowdown`` maps a service to the factors by which
+    running tasks of each class multiply its time. ``entry_delays_ms`` has the
+    one-way delays to single entries; the others have ``link_delay_ms``.
     """
 
     worker_id: str
@@ -60,7 +60,7 @@
 
 
 class Faults(Struct, frozen=True, forbid_unknown_fields=True):
-    """Faults that ``POST /faults`` sets as a whole."""
+    """Injected faults; ``POST /faults`` replaces all of them."""
 
     black_hole: bool = False
     hang: bool = False
@@ -90,7 +90,7 @@
 class History:
     """What the worker did, as ``GET /record`` returns it.
 
-    The refused counts show attempts to exceed the worker's capacity.
+    The refused counts are of attempts to exceed the worker's capacity.
     """
 
     worker_id: str
@@ -107,10 +107,10 @@
 
 
 class WorkerState:
-    """Slots, fences, settlement memory and tasks of one worker."""
+    """Slots, fences, calls kept for settlement and tasks of one worker."""
 
     def __init__(self, config: WorkerConfig, now_s: float) -> None:
-        """Start empty, with the lease of the settings."""
+        """Start empty, with a first lease as long as the settings say."""
         self.config = config
         self.incarnation = Incarnation(random_id())
         self.random = random.Random(config.seed)
@@ -132,13 +132,13 @@
         )
         self.history.tasks = self.tasks.history
         self._revoked: set[GrantId] = set()
-        self._calls: dict[CallId, CallRecord] = {}
-        self._running: dict[CallId, CallRecord] = {}
-        self._never: set[CallId] = set()
+        self._calls_by_id: dict[CallId, CallRecord] = {}
+        self._running_by_id: dict[CallId, CallRecord] = {}
+        self._refused_call_ids: set[CallId] = set()
         self._latencies: list[tuple[float, str, float]] = []
 
     def replace_faults(self, faults: Faults, now_s: float) -> None:
-        """Replace the faults and note when the worker began to leave."""
+        """Replace the faults and record when the worker began to leave."""
         self.faults = faults
         if not faults.leaving:
             self.history.leaving_since_s = None
@@ -146,7 +146,7 @@
             self.history.leaving_since_s = now_s
 
     def admit(self, record: CallRecord) -> WorkerRefusal | None:
-        """Take a slot for a call or say why not.
+        """Take a slot for a call, or return the reason of a refusal.
 
         A leaving worker still accepts calls, so that the history shows
         whether its callers stop in time.
@@ -154,24 +154,24 @@
         refusal = self._refusal(record)
         if refusal is not None:
             return refusal
-        self._calls[record.call_id] = record
-        self._running[record.call_id] = record
+        self._calls_by_id[record.call_id] = record
+        self._running_by_id[record.call_id] = record
         self.history.calls.append(record)
         self.history.peak_slots_count = max(
             self.history.peak_slots_count,
-            len(self._running),
+            len(self._running_by_id),
         )
         if self.history.leaving_since_s is not None:
             self.history.accepted_after_leaving.append(record.call_id)
         return None
 
     def service_s(self, service: str) -> float:
-        """Draw a service time, slowed by the tasks that run here."""
+        """Draw a service time, slowed down by the running tasks."""
         factor = self.faults.slow_factor
-        pairs = self.config.slowdown.get(service, {})
+        full_factors = self.config.slowdown.get(service, {})
         for task in self.tasks.active():
-            full = pairs.get(task.start.task_class, 1)
-            factor *= 1 + (full - 1) * task.cpu_share
+            full_factor = full_factors.get(task.start.task_class, 1)
+            factor *= 1 + (full_factor - 1) * task.cpu_share
         spread = self.random.lognormvariate(0, self.config.service_sigma)
         return self.config.service_ms * spread * factor / _MS_PER_S
 
@@ -181,8 +181,8 @@
         answer: CallAnswer | None,
         now_s: float,
     ) -> None:
-        """Free the slot; without an answer the call was cancelled."""
-        record = self._running.pop(call_id)
+        """Free the slot of a call, which was cancelled if it has no answer."""
+        record = self._running_by_id.pop(call_id)
         record.end_s = now_s
         record.state = CallState.CANCELLED
         if answer is not None:
@@ -192,10 +192,10 @@
         self._latencies.append((now_s, record.service, latency_ms))
 
     def settle(self, call_id: CallId) -> Settled:
-        """Return the state of a call and refuse an unseen one from now on."""
-        record = self._calls.get(call_id)
+        """Return the state of a call; an unknown id is refused from now on."""
+        record = self._calls_by_id.get(call_id)
         if record is None:
-            self._never.add(call_id)
+            self._refused_call_ids.add(call_id)
             return Settled(CallState.NEVER)
         return Settled(record.state, self.answers.get(call_id))
 
@@ -206,7 +206,7 @@
         lease_ms: int,
         now_s: float,
     ) -> tuple[RunningCall, ...]:
-        """Fence and extend, unless the epoch is stale."""
+        """Raise the fence and extend the lease, unless the epoch is stale."""
         self.tasks.advance(now_s)
         if epoch >= self.epoch:
             self.epoch = epoch
@@ -214,7 +214,7 @@
             self.tasks.expires_at_s = now_s + lease_ms / _MS_PER_S
         return tuple(
             RunningCall(record.call_id, record.grant_id)
-            for record in self._running.values()
+            for record in self._running_by_id.values()
         )
 
     def start_task(
@@ -230,7 +230,7 @@
         return self.tasks.start(start, now_s)
 
     def usage(self, now_s: float) -> UsageReport:
-        """Report what was measured up to ``usage_lag_ms`` ago."""
+        """Report the usage of the second that ended ``usage_lag_ms`` ago."""
         self.tasks.advance(now_s)
         until_s = now_s - self.config.usage_lag_ms / _MS_PER_S
         since_s = until_s - 1
@@ -260,8 +260,8 @@
     def _refusal(self, record: CallRecord) -> WorkerRefusal | None:
         if record.expected_incarnation not in {None, self.incarnation}:
             return WorkerRefusal.OTHER_INCARNATION
-        known = record.call_id in self._calls
-        if known or record.call_id in self._never:
+        is_known = record.call_id in self._calls_by_id
+        if is_known or record.call_id in self._refused_call_ids:
             return WorkerRefusal.SETTLED
         if record.epoch < self.epoch:
             return WorkerRefusal.STALE_EPOCH
@@ -269,7 +269,7 @@
             return WorkerRefusal.REVOKED_GRANT
         if record.service not in self.config.services:
             return WorkerRefusal.UNKNOWN_SERVICE
-        if len(self._running) >= self.config.slots_count:
+        if len(self._running_by_id) >= self.config.slots_count:
             self.history.refused_calls_count += 1
             return WorkerRefusal.FULL
         return None
--- a/standins/worker_tasks.py
+++ b/standins/worker_tasks.py
@@ -1,6 +1,6 @@
 """Tasks of the stand-in for a worker, without any transport.
 
-Times are monotonic seconds and are passed in.
+Times are arguments, in monotonic seconds.
 """
 
 from __future__ import annotations
@@ -22,7 +22,10 @@
 
 @dataclass(slots=True)
 class TaskRecord:
-    """History of one started attempt; ``work_ms`` is done until ``seen_s``."""
+    """History of one started attempt.
+
+    ``work_ms`` is the work done up to ``seen_s``.
+    """
 
     start: TaskStart
     start_s: float
@@ -37,10 +40,10 @@
     """The latest attempt of each task, with fences and the lease."""
 
     def __init__(self, capacity: Demand, expires_at_s: float) -> None:
-        """Start empty; ``capacity`` is what the worker holds."""
+        """Start empty; ``capacity`` is what all tasks may use together."""
         self.expires_at_s = expires_at_s
         self.history: list[TaskRecord] = []
-        self._room = capacity
+        self._capacity = capacity
         self._tasks: dict[TaskId, TaskRecord] = {}
         self._fences: dict[str, tuple[int, int]] = {}
 
@@ -49,14 +52,14 @@
         start: TaskStart,
         now_s: float,
     ) -> TaskReport | WorkerRefusal:
-        """Start an attempt once; a repeat returns its state.
+        """Start an attempt; a repeated start only returns its report.
 
-        A start after the lease lapsed is refused like one of an old owner.
+        A start after the lease expired is refused like one of an old owner.
         """
         self.advance(now_s)
-        held = self._tasks.get(start.task_id)
-        if held is not None and held.start.fence == start.fence:
-            return _report(held)
+        existing = self._tasks.get(start.task_id)
+        if existing is not None and existing.start.fence == start.fence:
+            return _report(existing)
         if now_s >= self.expires_at_s:
             return WorkerRefusal.STALE_EPOCH
         refusal = self._refusal(start)
@@ -77,16 +80,16 @@
         *,
         with_checkpoint: bool,
     ) -> TaskReport | None:
-        """Stop an attempt; ``None`` means that it never ran.
+        """Stop an attempt; returns ``None`` if it never ran here.
 
-        A stop of an unseen attempt fences it, so that a late start is refused.
+        Stopping an unknown attempt fences it, so that a late start is refused.
         """
         self.advance(now_s)
         task = self._tasks.get(task_id)
         if task is None or task.start.fence != fence:
-            barred = (fence[0], fence[1] + 1)
-            known = self._fences.get(task_id, barred)
-            self._fences[task_id] = max(known, barred)
+            next_fence = (fence[0], fence[1] + 1)
+            current = self._fences.get(task_id, next_fence)
+            self._fences[task_id] = max(current, next_fence)
             return None
         if task.phase in _ACTIVE:
             task.phase = TaskPhase.STOPPED
@@ -101,7 +104,7 @@
         cpu_share: float,
         now_s: float,
     ) -> TaskReport | None:
-        """Limit a running task, or return ``None`` for an unseen one."""
+        """Limit a running task; returns ``None`` for an unknown task."""
         self.advance(now_s)
         task = self._tasks.get(task_id)
         if task is None:
@@ -114,19 +117,19 @@
         return _report(task)
 
     def reports(self) -> tuple[TaskReport, ...]:
-        """Report the latest attempt of every task."""
+        """Return the reports of the latest attempt of every task."""
         return tuple(map(_report, self._tasks.values()))
 
     def advance(self, now_s: float) -> None:
-        """Do the tasks' work up to now and stop them if the lease lapsed."""
+        """Advance the tasks to now, and stop them if the lease expired."""
         until_s = min(now_s, self.expires_at_s)
         for task in self.active():
-            self._work(task, until_s)
+            self._advance_task(task, until_s)
             if task.phase in _ACTIVE and now_s >= self.expires_at_s:
                 task.phase = TaskPhase.STOPPED
                 task.end_s = self.expires_at_s
 
-    def _work(self, task: TaskRecord, until_s: float) -> None:
+    def _advance_task(self, task: TaskRecord, until_s: float) -> None:
         rate = task.cpu_share * _MS_PER_S
         left_s = (task.start.run_ms - task.work_ms) / rate if rate else None
         if left_s is not None and task.seen_s + left_s <= until_s:
@@ -138,35 +141,35 @@
         task.seen_s = max(until_s, task.seen_s)
 
     def active(self) -> list[TaskRecord]:
-        """Return the attempts that run, throttled or not."""
+        """Return the running attempts, throttled or not."""
         return [task for task in self._tasks.values() if task.phase in _ACTIVE]
 
     def _refusal(self, start: TaskStart) -> WorkerRefusal | None:
         for name in _fence_names(start):
             if start.fence < self._fences.get(name, start.fence):
                 return WorkerRefusal.STALE_FENCE
-        if self._is_busy(start) or not self._has_room(start):
+        if self._is_busy(start) or not self._has_capacity(start):
             return WorkerRefusal.FULL
         return None
 
     def _is_busy(self, start: TaskStart) -> bool:
-        """Tell whether an attempt with the same task or key still runs."""
+        """Return whether an attempt of the same task or key still runs."""
         names = set(_fence_names(start))
         return any(
             names.intersection(_fence_names(task.start))
             for task in self.active()
         )
 
-    def _has_room(self, start: TaskStart) -> bool:
+    def _has_capacity(self, start: TaskStart) -> bool:
         demands = [task.start.demand for task in self.active()]
         demands.append(start.demand)
         return (
             sum(demand.cpu_millicores for demand in demands)
-            <= self._room.cpu_millicores
+            <= self._capacity.cpu_millicores
             and sum(demand.memory_mb for demand in demands)
-            <= self._room.memory_mb
+            <= self._capacity.memory_mb
             and sum(demand.accelerators_count for demand in demands)
-            <= self._room.accelerators_count
+            <= self._capacity.accelerators_count
         )
 
 
--- a/tests/links/test_members.py
+++ b/tests/links/test_members.py
@@ -189,7 +189,7 @@
         marker = msgspec.structs.replace(_member('m'), entry_id='marker')
         body = msgspec.json.encode(marker)
         standin.state.apply([Write(f'{PREFIX}marker', body)])
-        standin.wake()
+        standin.notify_watches()
         while view.find(EntryId('marker')) is None:
             await view.wait_change()
         self.assertEqual(view.live(), (_member('a'), marker))
--- a/tests/platform/__init__.py
+++ b/tests/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of platform."""
+"""Tests of the package ``marjoramwharf.platform``."""
--- a/tests/platform/serving.py
+++ b/tests/platform/serving.py
@@ -1,4 +1,4 @@
-"""A scripted HTTP server for the tests of the adapter's calls."""
+"""A scripted HTTP server for the tests of the platform's clients."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class Script:
-    """Answers each request with the next reply and keeps the requests.
+    """Answers each request with the next reply and records the requests.
 
     A reply of ``None`` closes the connection without an answer.
     """
@@ -39,13 +39,13 @@
         return HttpReply(reply[0], json.dumps(reply[1]).encode())
 
     def body(self, index: int) -> Any:
-        """Return a request's body."""
+        """Return the decoded body of a recorded request."""
         return json.loads(self.requests[index].body)
 
 
 @asynccontextmanager
 async def scripted(*replies: tuple[int, Any] | None) -> AsyncIterator[Script]:
-    """Serve a script on loopback."""
+    """Serve a script of replies on loopback."""
     script = Script(list(replies))
     listener = await open_listener('127.0.0.1', 0)
     port = listener.socket.getsockname()[1]
--- a/tests/platform/test_kv_store.py
+++ b/tests/platform/test_kv_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store, as its page shows them."""
+"""Tests of the store's client against the platform's published protocol."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     """Guards against calls that differ from the published protocol."""
 
     def test_read(self) -> None:
-        """Guards against a value that is read wrong, or a missing one."""
+        """Guards against a misread value, or a missing key read as one."""
         trio.run(self._read)
 
     def test_pages(self) -> None:
@@ -47,15 +47,15 @@
         trio.run(self._pages)
 
     def test_commit(self) -> None:
-        """Guards against conditions that don't reach the store."""
+        """Guards against lost conditions and misread conflicts."""
         trio.run(self._commit)
 
     def test_poll(self) -> None:
-        """Guards against changes that are read wrong."""
+        """Guards against misread changes and unnoticed loss of history."""
         trio.run(self._poll)
 
     def test_leases(self) -> None:
-        """Guards against a lease that is taken for living."""
+        """Guards against an ended lease that is taken for a live one."""
         trio.run(self._leases)
 
     def test_failures(self) -> None:
@@ -146,7 +146,7 @@
             for _ in range(2):
                 with self.assertRaises(StoreUnavailable):
                     await store.commit([], [Write('a', b'')])
-            # The first connection was kept, so the call is sent once more.
+            # The kept connection fails, so the call is sent again on a new one.
             with self.assertRaises(StoreAnswerLost):
                 await store.commit([], [Write('a', b'')])
             with self.assertRaises(StoreRefused):
--- a/tests/platform/test_settings_file.py
+++ b/tests/platform/test_settings_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file."""
+"""Tests of reading the platform's settings file."""
 
 from __future__ import annotations
 
@@ -30,22 +30,24 @@
 """
 
 
-class PlaceTests(unittest.TestCase):
-    """Guards against settings that are read wrong or fail without a name."""
+class SettingsFileTests(unittest.TestCase):
+    """Guards against misread settings and errors that name no field."""
 
     def test_all_fields(self) -> None:
-        """Guards against a unit or a product that is wrong."""
-        place = parse_instance_settings(_TEXT, origin='settings.conf')
-        self.assertEqual(('10.1.0.13', 8161), place.front)
-        self.assertEqual((7720, 7735), place.peer_ports)
-        self.assertAlmostEqual(1.074, place.cpu_share)
-        self.assertEqual(6_000, place.bounds.grace_ms)
-        self.assertEqual(120_000, place.bounds.status_ms)
-        self.assertEqual(1.5, place.bounds.far_factor)
-        self.assertEqual('', place.advice_address)
+        """Guards against wrong units and a wrong product of share and cores."""
+        instance_settings = parse_instance_settings(
+            _TEXT, origin='settings.conf'
+        )
+        self.assertEqual(('10.1.0.13', 8161), instance_settings.front)
+        self.assertEqual((7720, 7735), instance_settings.peer_ports)
+        self.assertAlmostEqual(1.074, instance_settings.cpu_share)
+        self.assertEqual(6_000, instance_settings.bounds.grace_ms)
+        self.assertEqual(120_000, instance_settings.bounds.status_ms)
+        self.assertEqual(1.5, instance_settings.bounds.far_factor)
+        self.assertEqual('', instance_settings.advice_address)
 
     def test_missing_field_is_named(self) -> None:
-        """Guards against an error that doesn't say what is missing."""
+        """Guards against an error that doesn't name the missing field."""
         with self.assertRaisesRegex(BadSettings, 'platform.Address'):
             parse_instance_settings(
                 _TEXT.replace('platform.Address', 'elsewhere'),
@@ -53,7 +55,7 @@
             )
 
     def test_unreadable_field_is_named(self) -> None:
-        """Guards against a value that is taken for a default."""
+        """Guards against an unreadable value replaced by the default."""
         with self.assertRaisesRegex(BadSettings, 'GraceS'):
             parse_instance_settings(
                 _TEXT.replace('GraceS=6', 'GraceS=soon'),
@@ -63,7 +65,7 @@
     @settings(derandomize=True, max_examples=200)
     @given(st.text(max_size=200))
     def test_any_text(self, text: str) -> None:
-        """Guards against a failure without a type."""
+        """Guards against any exception but ``BadSettings``."""
         try:
             parse_instance_settings(text, origin='settings.conf')
         except BadSettings:
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -1,4 +1,4 @@
-"""Decoding of what operators, workers and callers write."""
+"""Tests of decoding configurations, worker listings and job requests."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 
 
 class ConfigurationTests(unittest.TestCase):
-    """Guards against a configuration that is read wrong."""
+    """Guards against a misread configuration."""
 
     def test_all_fields(self) -> None:
-        """Guards against a field that is taken for another."""
+        """Guards against fields that are mixed up."""
         configuration = decode_configuration(_CONFIG)
         queue = configuration.queue_at('nony24.example', '/lohu930/abc')
         self.assertIsNotNone(queue)
@@ -68,7 +68,7 @@
         self.assertIsNone(configuration.queue_at('other', '/lohu930/'))
 
     def test_longest_prefix(self) -> None:
-        """Guards against a queue that hides a more special one."""
+        """Guards against a queue that hides one with a longer prefix."""
         raw = _CONFIG.replace(
             b'"Routes":[',
             b'"Routes":[{"Name":"r-2","Host":"nony24.example",'
@@ -83,16 +83,16 @@
     @settings(derandomize=True, max_examples=200)
     @given(st.binary(max_size=80))
     def test_any_bytes(self, raw: bytes) -> None:
-        """Guards against a failure without a type."""
+        """Guards against any exception but ``BadNote``."""
         with self.assertRaises(BadNote):
             decode_configuration(raw)
 
 
 class ListingTests(unittest.TestCase):
-    """Guards against a worker that is read wrong."""
+    """Guards against a misread worker listing."""
 
     def test_all_fields(self) -> None:
-        """Guards against a field that is taken for another."""
+        """Guards against fields that are mixed up."""
         listing = decode_listing('servers/i-1', _ENTRY)
         self.assertEqual('i-1', listing.worker_id)
         self.assertEqual(('10.128.0.9', 8080), (listing.host, listing.port))
@@ -103,23 +103,23 @@
         self.assertEqual(1785000000123, listing.born_ms)
 
     def test_unknown_state(self) -> None:
-        """Guards against an entry of another writer that names a worker."""
+        """Guards against use of a worker whose listing has an unknown state."""
         with self.assertRaises(BadListing):
             decode_listing('servers/i-1', _ENTRY.replace(b'draining', b'odd'))
 
     @settings(derandomize=True, max_examples=200)
     @given(st.binary(max_size=80))
     def test_any_bytes(self, raw: bytes) -> None:
-        """Guards against a failure without a type."""
+        """Guards against any exception but ``BadListing``."""
         with self.assertRaises(BadListing):
             decode_listing('servers/i-1', raw)
 
 
 class JobBodyTests(unittest.TestCase):
-    """Guards against a job that is read wrong."""
+    """Guards against a misread job."""
 
     def test_all_fields(self) -> None:
-        """Guards against a field that is taken for another."""
+        """Guards against fields that are mixed up."""
         job = _decode(_JOB)
         first, second = job.steps
         self.assertEqual(
@@ -147,7 +147,7 @@
         )
 
     def test_refused_bodies(self) -> None:
-        """Guards against a job that could never be done being accepted."""
+        """Guards against accepting a job that could never complete."""
         for raw in (
             b'',
             b'{}',
@@ -161,13 +161,13 @@
                 _decode(raw)
 
     def test_states(self) -> None:
-        """Guards against a state without a name on the wire."""
+        """Guards against a state that has no body."""
         for state in ShownState:
             self.assertIn(b'"State"', job_bodies.encode_state(state))
 
     @settings(derandomize=True, max_examples=200)
     @given(st.binary(max_size=80))
     def test_any_bytes(self, raw: bytes) -> None:
-        """Guards against a failure without a type."""
+        """Guards against any exception but ``BadJob``."""
         with self.assertRaises(BadJob):
             _decode(raw)
--- a/tests/platform/test_worker_client.py
+++ b/tests/platform/test_worker_client.py
@@ -1,4 +1,4 @@
-"""Calls to workers, as the platform's page shows them."""
+"""Tests of the workers' client against the platform's published protocol."""
 
 from __future__ import annotations
 
@@ -29,27 +29,27 @@
     return WorkerAddress(WorkerId('i-1'), host, int(port))
 
 
-class WorkerCallTests(unittest.TestCase):
+class WorkerClientTests(unittest.TestCase):
     """Guards against orders that differ from the published protocol."""
 
     def setUp(self) -> None:
-        """Use one client for each test."""
-        self.calls = PlatformWorkerClient(LeanClient())
+        """Use a new client in each test."""
+        self.worker_client = PlatformWorkerClient(LeanClient())
 
     def test_start(self) -> None:
-        """Guards against an order that is sent wrong."""
+        """Guards against wrong fields or headers of a start order."""
         trio.run(self._start)
 
     def test_refusals(self) -> None:
-        """Guards against a refusal that is taken for another."""
+        """Guards against refusals that are mixed up."""
         trio.run(self._refusals)
 
     def test_hold(self) -> None:
-        """Guards against runs and ends that are read wrong."""
+        """Guards against misread runs and ends."""
         trio.run(self._hold)
 
     def test_stop_and_pace(self) -> None:
-        """Guards against orders that are sent wrong."""
+        """Guards against wrong fields or paths of stop and pace orders."""
         trio.run(self._stop_and_pace)
 
     def test_no_answer(self) -> None:
@@ -58,7 +58,7 @@
 
     async def _start(self) -> None:
         async with scripted((200, {'ClockMs': 482113})) as script:
-            answer = await self.calls.start(
+            answer = await self.worker_client.start(
                 _address(script),
                 _START,
                 timeout_s=2,
@@ -101,7 +101,7 @@
         ]
         async with scripted(*replies, *statuses) as script:
             for outcome in (*expected.values(), *by_status.values()):
-                answer = await self.calls.start(
+                answer = await self.worker_client.start(
                     _address(script),
                     _START,
                     timeout_s=2,
@@ -117,7 +117,7 @@
         }
         async with scripted((200, lists), (200, [])) as script:
             order = HoldOrder(7, 57, 486_000, 1_000)
-            report = await self.calls.hold(
+            report = await self.worker_client.hold(
                 _address(script),
                 order,
                 timeout_s=2,
@@ -137,17 +137,19 @@
                 },
                 script.body(0),
             )
-            unread = await self.calls.hold(_address(script), order, timeout_s=2)
+            unread = await self.worker_client.hold(
+                _address(script), order, timeout_s=2
+            )
             self.assertIs(OrderOutcome.UNKNOWN, unread.outcome)
 
     async def _stop_and_pace(self) -> None:
         async with scripted((200, {}), (200, {})) as script:
-            await self.calls.stop(
+            await self.worker_client.stop(
                 _address(script),
                 StopOrder(_TASK, 2, 7),
                 timeout_s=2,
             )
-            await self.calls.pace(
+            await self.worker_client.pace(
                 _address(script),
                 PaceOrder(_TASK, 2, 40, 7),
                 timeout_s=2,
@@ -161,12 +163,12 @@
 
     async def _no_answer(self) -> None:
         async with scripted(None) as script:
-            answer = await self.calls.start(
+            answer = await self.worker_client.start(
                 _address(script),
                 _START,
                 timeout_s=2,
             )
             self.assertIs(OrderOutcome.UNKNOWN, answer.outcome)
         nowhere = WorkerAddress(WorkerId('i-1'), '127.0.0.1', 1)
-        unsent = await self.calls.start(nowhere, _START, timeout_s=2)
+        unsent = await self.worker_client.start(nowhere, _START, timeout_s=2)
         self.assertIs(OrderOutcome.NOT_SENT, unsent.outcome)
--- a/tests/standins/test_worker_state.py
+++ b/tests/standins/test_worker_state.py
@@ -1,4 +1,4 @@
-"""The stand-in's own rules, since other tests take it as the truth."""
+"""Tests of the stand-in worker, whose records other tests rely on."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 
 class WorkerStateTests(unittest.TestCase):
-    """Guards against a stand-in that is laxer than its contract."""
+    """Guards against a stand-in that allows more than its contract."""
 
     def setUp(self) -> None:
-        """Start a worker with two slots and one slow pair."""
+        """Start a worker with two slots and one slowdown factor."""
         self.state = WorkerState(
             WorkerConfig(
                 'w1',
@@ -47,8 +47,8 @@
             0,
         )
 
-    def test_lapsed_lease_stops_tasks_with_their_progress(self) -> None:
-        """Guards against tasks that outlive their owner."""
+    def test_expired_lease_stops_tasks_and_keeps_progress(self) -> None:
+        """Guards against tasks that run on after their owner's lease."""
         self.state.start_task(_START, 0)
         report = self.state.start_task(_START, 50)
         assert isinstance(report, TaskReport)
@@ -58,20 +58,20 @@
         self.assertEqual(refusal, WorkerRefusal.STALE_EPOCH)
 
     def test_heartbeats_keep_tasks_until_their_end(self) -> None:
-        """Guards against tasks that stop under a live owner."""
+        """Guards against tasks that stop although their owner is alive."""
         self.state.start_task(_START, 0)
         for now_s in range(5, 70, 5):
             self.state.lease(Epoch(1), (), 10_000, now_s)
         self.assertEqual(self.state.tasks.history[0].end_s, 59)
 
-    def test_running_task_slows_its_pair(self) -> None:
-        """Guards against interference that is not there to be measured."""
+    def test_running_task_slows_service(self) -> None:
+        """Guards against running tasks that don't slow the service down."""
         alone_s = self.state.service_s('notice')
         self.state.start_task(_START, 0)
         self.assertAlmostEqual(self.state.service_s('notice'), 3 * alone_s)
 
     def test_capacity_is_refused_and_counted(self) -> None:
-        """Guards against a record that hides too much work."""
+        """Guards against a record that hides calls above the capacity."""
         for name in ('a', 'b', 'c'):
             refusal = self.state.admit(_record(name))
         self.assertEqual(refusal, WorkerRefusal.FULL)
