--- a/src/marjoramwharf/platform/worker_listings.py
+++ b/src/marjoramwharf/platform/worker_listings.py
@@ -2,7 +2,7 @@
 
 A key below ``servers/`` may have been written by someone else. A listing that
 can't be decoded, or whose state is unknown, raises ``BadListing``, so that the
-worker gets no runs.
+worker gets no new runs.
 """
 
 from __future__ import annotations
