--- a/src/marjoramwharf/cells/instance_settings.py
+++ b/src/marjoramwharf/cells/instance_settings.py
@@ -1,6 +1,6 @@
 """Settings of an entry instance: addresses, time bounds and store limits.
 
-The values come from the settings of the process; ``platform.boot`` reads
+The values come from the settings of the process; ``platform.settings_file`` reads
 them on the users' platform.
 """
 
--- a/standins/platform_process.py
+++ b/standins/platform_process.py
@@ -2,8 +2,8 @@
 
     python -m standins.platform_process --port 7000 --workers 4
 
-The store listens on the port, workers on the ports after it. The workers are
-listed and a configuration is in force from the start.
+The store listens on the given port and the workers on those after it. The
+listings of the workers and a configuration are stored from the start.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 from marjoramwharf.links.http_server import HttpServer, open_listener
 from marjoramwharf.links.store import Write
-from standins.platform_wire import StoreWire, WorkerWire
-from standins.run_worker import RunWorker
+from standins.platform_endpoints import StoreEndpoint, WorkerEndpoint
+from standins.simulated_worker import SimulatedWorker
 
 HOST = '127.0.0.1'
 QUEUE_HOST = 'jobs.example'
@@ -48,9 +48,9 @@
     *,
     store: str,
 ) -> str:
-    """Return the settings file of an entry.
+    """Return the content of an entry's settings file.
 
-    ``ports`` are those for callers, for readiness and for peers.
+    ``ports`` are those for callers, for readiness checks and for peers.
     """
     return _SETTINGS.format(
         name=name,
@@ -79,8 +79,8 @@
     return json.dumps(body).encode()
 
 
-def worker_entry(port: int, rack: str) -> bytes:
-    """Return what a worker writes of itself."""
+def worker_listing(port: int, rack: str) -> bytes:
+    """Return the listing that a worker writes of itself into the store."""
     body = {
         'Service': _SERVICE,
         'Address': f'{HOST}:{port}',
@@ -95,16 +95,16 @@
 
 
 async def serve_platform(port: int, workers_count: int) -> None:
-    """Serve store and workers until cancelled."""
-    store = StoreWire()
+    """Serve the store and the workers until cancelled."""
+    store = StoreEndpoint()
     store.state.apply([Write('op/config', configuration(1))])
     async with trio.open_nursery() as nursery:
         for number in range(1, workers_count + 1):
-            wire = WorkerWire(RunWorker(trio.current_time()))
+            endpoint = WorkerEndpoint(SimulatedWorker(trio.current_time()))
             listener = await open_listener(HOST, port + number)
-            nursery.start_soon(HttpServer(wire.handle).serve, listener)
+            nursery.start_soon(HttpServer(endpoint.handle).serve, listener)
             rack = 'r1' if number % 2 else 'r2'
-            entry = worker_entry(port + number, rack)
+            entry = worker_listing(port + number, rack)
             store.state.apply([Write(f'servers/w{number}', entry)])
         listener = await open_listener(HOST, port)
         nursery.start_soon(HttpServer(store.handle).serve, listener)
--- a/standins/run_worker_calls.py
+++ b/standins/simulated_worker_client.py
@@ -1,4 +1,4 @@
-"""In-process calls to stand-in workers, with the faults of the real ones."""
+"""An in-process client of simulated workers, with the faults of real calls."""
 
 from __future__ import annotations
 
@@ -20,32 +20,34 @@
     WorkerAddress,
 )
 from marjoramwharf.ids import WorkerId
-from standins.run_worker import RunWorker
+from standins.simulated_worker import SimulatedWorker
 
 _MS_PER_S = 1_000
-_STEP_S = 0.01
+_POLL_INTERVAL_S = 0.01
 
 _Reply = TypeVar('_Reply')
 
 
 @dataclass
-class MemoryWorkerCalls:
-    """Implements ``WorkerClient`` on a table of ``RunWorker``.
-
-    ``unreachable`` workers answer nothing. The next ``starts_to_lose`` starts
-    and ``holds_to_lose`` are carried out without an answer; the next
-    ``starts_to_repeat`` starts are carried out twice, as by a client that sends
-    a call again; ``starts_to_delay`` starts wait in
-    ``late_orders`` until they are called.
+class MemoryWorkerClient:
+    """Implements ``WorkerClient`` on a table of ``SimulatedWorker``.
+
+    Calls to ``unreachable`` workers get no answer. The next
+    ``start_answers_to_lose`` starts and ``hold_answers_to_lose`` holds are carried
+    out without an answer; the next ``starts_to_repeat`` starts are carried out
+    twice, as by a client that sends a call again. The next ``starts_to_delay``
+    starts wait in ``delayed_orders`` until a test calls them.
     """
 
-    workers: dict[WorkerId, RunWorker]
+    workers: dict[WorkerId, SimulatedWorker]
     unreachable: set[WorkerId] = field(default_factory=set)
-    starts_to_lose: int = 0
+    start_answers_to_lose: int = 0
     starts_to_repeat: int = 0
-    holds_to_lose: int = 0
+    hold_answers_to_lose: int = 0
     starts_to_delay: int = 0
-    late_orders: list[Callable[[], OrderAnswer]] = field(default_factory=list)
+    delayed_orders: list[Callable[[], OrderAnswer]] = field(
+        default_factory=list
+    )
 
     async def start(
         self,
@@ -54,11 +56,11 @@
         *,
         timeout_s: float,
     ) -> OrderAnswer:
-        """Start a run."""
+        """Order a worker to start a run."""
         carry_out = partial(self._start, worker.worker_id, order)
         if self.starts_to_delay:
             self.starts_to_delay -= 1
-            self.late_orders.append(carry_out)
+            self.delayed_orders.append(carry_out)
             await trio.sleep(timeout_s)
             return OrderAnswer(OrderOutcome.UNKNOWN)
         answer = await self._reach(worker.worker_id, carry_out, timeout_s)
@@ -66,8 +68,8 @@
             self.starts_to_repeat -= 1
             await trio.sleep(timeout_s)
             answer = carry_out()
-        if self.starts_to_lose:
-            self.starts_to_lose -= 1
+        if self.start_answers_to_lose:
+            self.start_answers_to_lose -= 1
             await trio.sleep(timeout_s)
             answer = None
         return answer or OrderAnswer(OrderOutcome.UNKNOWN)
@@ -79,7 +81,7 @@
         *,
         timeout_s: float,
     ) -> OrderAnswer:
-        """Stop a run."""
+        """Order a worker to stop a run."""
         answer = await self._reach(
             worker.worker_id,
             lambda: self._worker(worker.worker_id).stop(
@@ -97,7 +99,7 @@
         *,
         timeout_s: float,
     ) -> OrderAnswer:
-        """Change the pace of a run."""
+        """Order a worker to change the pace of a run."""
         answer = await self._reach(
             worker.worker_id,
             lambda: self._worker(worker.worker_id).pace(
@@ -115,20 +117,20 @@
         *,
         timeout_s: float,
     ) -> HoldReport:
-        """Hold a worker; waits for an end as the real ones do."""
-        until_s = trio.current_time() + order.wait_ms / _MS_PER_S
+        """Extend a worker's lease and wait for an end, as real workers do."""
+        deadline_s = trio.current_time() + order.wait_ms / _MS_PER_S
         while True:
-            look = partial(self._hold, worker.worker_id, order)
-            report = await self._reach(worker.worker_id, look, timeout_s)
-            if report is not None and self.holds_to_lose:
-                self.holds_to_lose -= 1
+            send_hold = partial(self._hold, worker.worker_id, order)
+            report = await self._reach(worker.worker_id, send_hold, timeout_s)
+            if report is not None and self.hold_answers_to_lose:
+                self.hold_answers_to_lose -= 1
                 await trio.sleep(timeout_s)
                 report = None
             if report is None:
                 return HoldReport(OrderOutcome.UNKNOWN)
-            if report.ended or trio.current_time() >= until_s:
+            if report.ended or trio.current_time() >= deadline_s:
                 return report
-            await trio.sleep(_STEP_S)
+            await trio.sleep(_POLL_INTERVAL_S)
 
     def _start(self, worker_id: WorkerId, order: StartOrder) -> OrderAnswer:
         return self._worker(worker_id).start(order, trio.current_time())
@@ -136,7 +138,7 @@
     def _hold(self, worker_id: WorkerId, order: HoldOrder) -> HoldReport:
         return self._worker(worker_id).hold(order, trio.current_time())
 
-    def _worker(self, worker_id: WorkerId) -> RunWorker:
+    def _worker(self, worker_id: WorkerId) -> SimulatedWorker:
         return self.workers[worker_id]
 
     async def _reach(
--- a/tests/cells/cluster.py
+++ b/tests/cells/cluster.py
@@ -33,8 +33,8 @@
 from marjoramwharf.scheduling.policy import Configuration, QueuePolicy
 from marjoramwharf.scheduling.workload import JobRequest, StepRequest
 from standins.polling_store import PollingMemoryStore
-from standins.run_worker import RunWorker
-from standins.run_worker_calls import MemoryWorkerCalls
+from standins.simulated_worker import SimulatedWorker
+from standins.simulated_worker_client import MemoryWorkerClient
 
 CELL = CellId(0)
 SERVICE = 'presses'
@@ -96,10 +96,10 @@
     """
 
     store: PollingMemoryStore = field(default_factory=PollingMemoryStore)
-    workers: dict[WorkerId, RunWorker] = field(default_factory=dict)
+    workers: dict[WorkerId, SimulatedWorker] = field(default_factory=dict)
     listings: dict[WorkerId, WorkerListing] = field(default_factory=dict)
     candidates: list[Candidate] = field(default_factory=list)
-    former_workers: list[RunWorker] = field(default_factory=list)
+    former_workers: list[SimulatedWorker] = field(default_factory=list)
     configuration: Configuration = Configuration(
         1,
         {
@@ -113,11 +113,11 @@
             ),
         },
     )
-    worker_client: MemoryWorkerCalls = field(init=False)
+    worker_client: MemoryWorkerClient = field(init=False)
 
     def __post_init__(self) -> None:
         """Create the client, which shares the table of workers."""
-        self.worker_client = MemoryWorkerCalls(self.workers)
+        self.worker_client = MemoryWorkerClient(self.workers)
 
     async def add_worker(
         self,
@@ -125,12 +125,12 @@
         *,
         state: WorkerState = WorkerState.READY,
         remaining_ms: int | None = None,
-    ) -> RunWorker:
+    ) -> SimulatedWorker:
         """Add a worker to the list, or change its state there."""
         worker_id = WorkerId(name)
         worker = self.workers.setdefault(
             worker_id,
-            RunWorker(born_s=trio.current_time()),
+            SimulatedWorker(born_s=trio.current_time()),
         )
         self.listings[worker_id] = WorkerListing(
             worker_id=worker_id,
--- a/tests/cells/test_cell.py
+++ b/tests/cells/test_cell.py
@@ -10,7 +10,7 @@
 from marjoramwharf.cells.records import progress_key
 from marjoramwharf.ids import WorkerId
 from marjoramwharf.scheduling.fleet import WorkerState
-from standins.run_worker import RunWorker
+from standins.simulated_worker import SimulatedWorker
 from tests.cells.cluster import (
     CELL,
     job_request,
@@ -245,7 +245,7 @@
     async def _start_answer_is_lost(self) -> None:
         async with open_cluster() as (cluster, nursery):
             cluster.spawn(nursery, 'e1')
-            cluster.worker_client.starts_to_lose = 2
+            cluster.worker_client.start_answers_to_lose = 2
             request = job_request('aa')
             await cluster.submit(request)
             await cluster.wait_until(
@@ -261,7 +261,7 @@
             )
             await trio.sleep(1)
             cluster.worker_client.starts_to_repeat = 1
-            cluster.worker_client.holds_to_lose = 2
+            cluster.worker_client.hold_answers_to_lose = 2
             request = job_request('aa', payload='ms=50')
             await cluster.submit(request)
             await cluster.wait_until(
@@ -276,7 +276,7 @@
             request = job_request('aa', payload='ms=3000')
             await cluster.submit(request)
             await cluster.wait_until(lambda: cluster.starts().total() == 1)
-            for late in cluster.worker_client.late_orders:
+            for late in cluster.worker_client.delayed_orders:
                 late()
             cluster.check_single_runs()
             await cluster.wait_until(
@@ -292,13 +292,13 @@
             request = job_request('aa', payload='ms=3000')
             await cluster.submit(request)
             await cluster.wait_until(
-                lambda: bool(cluster.worker_client.late_orders)
+                lambda: bool(cluster.worker_client.delayed_orders)
             )
             first.scope.cancel()
             cluster.spawn(nursery, 'e2')
             await cluster.wait_until(lambda: cluster.starts().total() == 1)
             await trio.sleep(5)
-            cluster.worker_client.late_orders[0]()
+            cluster.worker_client.delayed_orders[0]()
             await cluster.wait_until(
                 lambda: cluster.state(request) is PublicJobState.DONE,
             )
@@ -325,7 +325,9 @@
             request = job_request('aa', payload='ms=2000')
             await cluster.submit(request)
             await cluster.wait_until(lambda: cluster.starts().total() == 1)
-            cluster.workers[WorkerId('w1')] = RunWorker(trio.current_time())
+            cluster.workers[WorkerId('w1')] = SimulatedWorker(
+                trio.current_time()
+            )
             await cluster.wait_until(
                 lambda: cluster.state(request) is PublicJobState.DONE,
                 limit_s=6,
@@ -370,7 +372,7 @@
             )
             key = progress_key(CELL, request.job_id)
             last = cluster.store.state.stored[key]
-            for late in cluster.store.late_commits:
+            for late in cluster.store.delayed_commits:
                 late()
             self.assertEqual(last, cluster.store.state.stored[key])
 
--- a/tests/cells/test_histories.py
+++ b/tests/cells/test_histories.py
@@ -19,7 +19,7 @@
 from marjoramwharf.cells.job_status import PublicJobState
 from marjoramwharf.errors import LeaseEnded
 from marjoramwharf.ids import WorkerId
-from standins.run_worker import RunWorker
+from standins.simulated_worker import SimulatedWorker
 from tests.cells.cluster import (
     Cluster,
     job_request,
@@ -52,7 +52,7 @@
 def _restart_worker(cluster: Cluster, pick: int) -> None:
     name = WorkerId(_WORKERS[pick % len(_WORKERS)])
     cluster.former_workers.append(cluster.workers[name])
-    cluster.workers[name] = RunWorker(trio.current_time())
+    cluster.workers[name] = SimulatedWorker(trio.current_time())
 
 
 def _stop_store(cluster: Cluster, _pick: int) -> None:
@@ -76,15 +76,15 @@
 
 
 def _apply_late_commits(cluster: Cluster, _pick: int) -> None:
-    for commit in cluster.store.late_commits:
+    for commit in cluster.store.delayed_commits:
         # A delayed write whose lease has ended is refused and changes nothing.
         with suppress(LeaseEnded):
             commit()
-    cluster.store.late_commits.clear()
+    cluster.store.delayed_commits.clear()
 
 
 def _lose_starts(cluster: Cluster, pick: int) -> None:
-    cluster.worker_client.starts_to_lose += pick
+    cluster.worker_client.start_answers_to_lose += pick
 
 
 def _repeat_starts(cluster: Cluster, pick: int) -> None:
@@ -96,13 +96,13 @@
 
 
 def _deliver_late_starts(cluster: Cluster, _pick: int) -> None:
-    for order in cluster.worker_client.late_orders:
+    for order in cluster.worker_client.delayed_orders:
         order()
-    cluster.worker_client.late_orders.clear()
+    cluster.worker_client.delayed_orders.clear()
 
 
 def _lose_poll_answers(cluster: Cluster, pick: int) -> None:
-    cluster.worker_client.holds_to_lose += pick
+    cluster.worker_client.hold_answers_to_lose += pick
 
 
 def _report_owner_ended(cluster: Cluster, _pick: int) -> None:
@@ -239,7 +239,7 @@
         """Fail if a task was started after its end was acknowledged as done."""
         all_workers = [*cluster.workers.values(), *cluster.former_workers]
         for worker in all_workers:
-            for task, ended_s in worker.noted_done:
+            for task, ended_s in worker.acknowledged_completions:
                 later = [
                     started_s
                     for other in all_workers
--- a/tests/platform/test_kv_store.py
+++ b/tests/platform/test_kv_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store, as its page shows them."""
+"""Tests of the store's client against the platform's published protocol."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     """Guards against calls that differ from the published protocol."""
 
     def test_read(self) -> None:
-        """Guards against a value that is read wrong, or a missing one."""
+        """Guards against a misread value, or a missing key read as one."""
         trio.run(self._read)
 
     def test_pages(self) -> None:
@@ -47,15 +47,15 @@
         trio.run(self._pages)
 
     def test_commit(self) -> None:
-        """Guards against conditions that don't reach the store."""
+        """Guards against lost conditions and misread conflicts."""
         trio.run(self._commit)
 
     def test_poll(self) -> None:
-        """Guards against changes that are read wrong."""
+        """Guards against misread changes and unnoticed loss of history."""
         trio.run(self._poll)
 
     def test_leases(self) -> None:
-        """Guards against a lease that is taken for living."""
+        """Guards against an ended lease that is taken for a live one."""
         trio.run(self._leases)
 
     def test_failures(self) -> None:
@@ -67,7 +67,9 @@
             found = await _store(script).read('my/leader')
             assert found is not None
             self.assertEqual((b'node-1', 412), (found.body, found.mod_revision))
-            self.assertEqual('/kv-key?Key=my%2Fleader', script.seen[0].target)
+            self.assertEqual(
+                '/kv-key?Key=my%2Fleader', script.requests[0].target
+            )
             self.assertIsNone(await _store(script).read('none'))
 
     async def _pages(self) -> None:
@@ -82,7 +84,7 @@
             self.assertEqual(530, reading.revision)
             keys = [stored.key for stored in reading.found]
             self.assertEqual(['my/leader', 'my/z'], keys)
-            self.assertIn('After=my%2Fleader', script.seen[1].target)
+            self.assertIn('After=my%2Fleader', script.requests[1].target)
 
     async def _commit(self) -> None:
         conflict = {'items': [_ITEM]}
@@ -119,7 +121,7 @@
             batch = await store.poll('my/', after_revision=411, wait_ms=10)
             self.assertEqual(413, batch.revision)
             self.assertIsNone(batch.events[1].stored)
-            self.assertIn('After=411&WaitMs=10', script.seen[0].target)
+            self.assertIn('After=411&WaitMs=10', script.requests[0].target)
             with self.assertRaises(HistoryLost):
                 await store.poll('my/', after_revision=1, wait_ms=10)
 
@@ -133,7 +135,7 @@
             lease = await store.grant_lease(3_000)
             self.assertEqual({'TtlMs': 3000}, script.body(0))
             self.assertTrue(await store.keep_alive(lease))
-            self.assertEqual('/kv-keep/77120', script.seen[1].target)
+            self.assertEqual('/kv-keep/77120', script.requests[1].target)
             self.assertFalse(await store.keep_alive(lease))
 
     async def _failures(self) -> None:
@@ -144,7 +146,7 @@
             for _ in range(2):
                 with self.assertRaises(StoreUnavailable):
                     await store.commit([], [Write('a', b'')])
-            # The first connection was kept, so the call is sent once more.
+            # The kept connection fails, so the call is sent again on a new one.
             with self.assertRaises(StoreAnswerLost):
                 await store.commit([], [Write('a', b'')])
             with self.assertRaises(StoreRefused):
--- a/tests/platform/test_boot.py
+++ b/tests/platform/test_settings_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file."""
+"""Tests of reading the platform's settings file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from marjoramwharf.errors import BadSettings
-from marjoramwharf.platform.boot import parse_place
+from marjoramwharf.platform.settings_file import parse_instance_settings
 
 _TEXT = """Node=front-a-1
 Zone=zone-a
@@ -30,32 +30,34 @@
 """
 
 
-class PlaceTests(unittest.TestCase):
-    """Guards against settings that are read wrong or fail without a name."""
+class SettingsFileTests(unittest.TestCase):
+    """Guards against misread settings and errors that name no field."""
 
     def test_all_fields(self) -> None:
-        """Guards against a unit or a product that is wrong."""
-        place = parse_place(_TEXT, origin='settings.conf')
-        self.assertEqual(('10.1.0.13', 8161), place.front)
-        self.assertEqual((7720, 7735), place.peer_ports)
-        self.assertAlmostEqual(1.074, place.cpu_share)
-        self.assertEqual(6_000, place.bounds.grace_ms)
-        self.assertEqual(120_000, place.bounds.status_ms)
-        self.assertEqual(1.5, place.bounds.far_factor)
-        self.assertEqual('', place.advice_address)
+        """Guards against wrong units and a wrong product of share and cores."""
+        instance_settings = parse_instance_settings(
+            _TEXT, origin='settings.conf'
+        )
+        self.assertEqual(('10.1.0.13', 8161), instance_settings.front)
+        self.assertEqual((7720, 7735), instance_settings.peer_ports)
+        self.assertAlmostEqual(1.074, instance_settings.cpu_share)
+        self.assertEqual(6_000, instance_settings.bounds.grace_ms)
+        self.assertEqual(120_000, instance_settings.bounds.status_ms)
+        self.assertEqual(1.5, instance_settings.bounds.far_factor)
+        self.assertEqual('', instance_settings.advice_address)
 
     def test_missing_field_is_named(self) -> None:
-        """Guards against an error that doesn't say what is missing."""
+        """Guards against an error that doesn't name the missing field."""
         with self.assertRaisesRegex(BadSettings, 'platform.Address'):
-            parse_place(
+            parse_instance_settings(
                 _TEXT.replace('platform.Address', 'elsewhere'),
                 origin='settings.conf',
             )
 
     def test_unreadable_field_is_named(self) -> None:
-        """Guards against a value that is taken for a default."""
+        """Guards against an unreadable value replaced by the default."""
         with self.assertRaisesRegex(BadSettings, 'GraceS'):
-            parse_place(
+            parse_instance_settings(
                 _TEXT.replace('GraceS=6', 'GraceS=soon'),
                 origin='settings.conf',
             )
@@ -63,9 +65,9 @@
     @settings(derandomize=True, max_examples=200)
     @given(st.text(max_size=200))
     def test_any_text(self, text: str) -> None:
-        """Guards against a failure without a type."""
+        """Guards against any exception but ``BadSettings``."""
         try:
-            parse_place(text, origin='settings.conf')
+            parse_instance_settings(text, origin='settings.conf')
         except BadSettings:
             return
         self.fail('needed fields are missing')
