--- a/src/marjoramwharf/programs/_batch_path.py
+++ b/src/marjoramwharf/programs/_batch_path.py
@@ -35,14 +35,14 @@
 from marjoramwharf.machines.calls import Demand, LeaseReply, TaskPhase
 from marjoramwharf.machines.worker import Worker
 from marjoramwharf.machines.worker_table import WorkerTable
-from marjoramwharf.programs._class_usage import ClassUsageFollower
-from marjoramwharf.programs._job_routing import JobRouting, now_ms
+from marjoramwharf.programs._class_usage import ClassUsagePoller
+from marjoramwharf.programs._job_router import JobRouter, now_ms
 from marjoramwharf.programs._job_shards import JobShards
 from marjoramwharf.programs._task_placement import (
     EntryCapacity,
-    IndexedChoice,
+    IndexedWorkerSelector,
 )
-from marjoramwharf.programs._task_reports import TaskReports
+from marjoramwharf.programs._task_reports import TaskReportRelay
 from marjoramwharf.service.drain import DrainGate
 from marjoramwharf.settings import EntrySettings
 
@@ -53,17 +53,17 @@
 _MILLICORES = 1_000
 _MS_PER_S = 1_000
 
-_FORGET_S = 60.0
-_CHECK_S = 1.0
+_CLEANUP_INTERVAL_S = 60.0
+_CHECK_INTERVAL_S = 1.0
 # Longer than a commit and a call to the worker, so that a start that is
 # merely slow is not refused.
-_UNSEEN_S = 10.0
+_UNREPORTED_S = 10.0
 
 _log = part_logger('jobs')
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class BatchPathParts:
+class BatchPathDependencies:
     """What the path is built from."""
 
     settings: EntrySettings
@@ -83,216 +83,219 @@
 class BatchPath:
     """Job shards, their runner and the reservations of one entry."""
 
-    def __init__(self, parts: BatchPathParts) -> None:
+    def __init__(self, deps: BatchPathDependencies) -> None:
         """Wire the parts; nothing runs yet."""
-        self._parts = parts
-        self._shard_count = parts.settings.batch.shard_count
+        self._deps = deps
+        self._shard_count = deps.settings.batch.shard_count
         self._quotas: dict[TeamId, int] = {}
-        self._reserved: dict[str, int] = {}
-        self._sizes: frozenset[Demand] = frozenset()
+        self._reserved_millicores: dict[str, int] = {}
+        self._worker_sizes: frozenset[Demand] = frozenset()
         # Instances that the list lost, and when that is believed.
-        self._gone_at_s: dict[WorkerId, float] = {}
+        self._removal_due_at_s: dict[WorkerId, float] = {}
         self._must_reconsider = False
-        self._choice = IndexedChoice(
-            self._reserved_of,
-            seed=parts.rng.getrandbits(32),
+        self._selector = IndexedWorkerSelector(
+            self._get_reserved_demand,
+            seed=deps.rng.getrandbits(32),
         )
-        allocator = parts.capacity_manager.allocator
-        allocator.choose = self._choice.choose
-        allocator.on_released = self._choice.released
+        allocator = deps.capacity_manager.allocator
+        allocator.choose = self._selector.choose
+        allocator.on_released = self._selector.on_released
         self.capacity = EntryCapacity(
-            parts.settings.identity,
+            deps.settings.identity,
             allocator,
-            peers=parts.peers,
-            owner_of=self._owner_of_worker,
-            sizes=lambda: self._sizes,
-            rng=parts.rng,
-            now=parts.clock,
+            peers=deps.peers,
+            owner_of=self._get_worker_owner,
+            sizes=lambda: self._worker_sizes,
+            rng=deps.rng,
+            now=deps.clock,
         )
-        self._usage = ClassUsageFollower(
+        self._usage_poller = ClassUsagePoller(
             allocator,
             get_agent=self._get_agent,
-            clock=parts.clock,
+            clock=deps.clock,
         )
         self.runner = JobRunner(
             self.capacity,
             self._get_agent,
-            size_of=self._size_of,
+            size_of=self._get_reservation_size,
         )
-        self.reports = TaskReports(
+        self.report_relay = TaskReportRelay(
             self.runner,
-            parts.settings.identity,
-            records=self._records,
-            peers=parts.peers,
-            on_seen=self._seen,
+            deps.settings.identity,
+            records=self._get_records,
+            peers=deps.peers,
+            on_worker_seen=self._on_worker_seen,
         )
         self.shards = JobShards(
-            parts.ownership,
+            deps.ownership,
             self.runner,
-            parts.store,
-            settings=parts.settings.batch,
-            policy=ShardPolicy(quota_millicores=self._quota_of),
-            view=parts.view,
-            entry_lease_s=parts.settings.capacity.entry_lease_s,
+            deps.store,
+            settings=deps.settings.batch,
+            policy=ShardPolicy(quota_millicores=self._get_quota),
+            view=deps.view,
+            entry_lease_s=deps.settings.capacity.entry_lease_s,
         )
-        self.routing = JobRouting(
+        self.router = JobRouter(
             self.runner,
-            owner_of=parts.ownership.owner_of,
-            peers=parts.peers,
-            gate=parts.gate,
+            owner_of=deps.ownership.owner_of,
+            peers=deps.peers,
+            gate=deps.gate,
         )
-        parts.capacity_manager.heartbeats.on_lease = self._on_lease
+        deps.capacity_manager.heartbeats.on_lease = self._on_lease
 
     async def run(self) -> None:
         """Serve the job shards until cancelled."""
         async with trio.open_nursery() as nursery:
-            await nursery.start(self.reports.run)
+            await nursery.start(self.report_relay.run)
             nursery.start_soon(self.runner.run)
             nursery.start_soon(self.shards.run)
-            nursery.start_soon(self._usage.run)
-            nursery.start_soon(self._forget)
-            nursery.start_soon(self._check)
+            nursery.start_soon(self._usage_poller.run)
+            nursery.start_soon(self._run_cleanup)
+            nursery.start_soon(self._run_checks)
 
     def blueprint(self) -> Blueprint:
         """Return the routes of the job calls."""
         return jobs_blueprint(
-            self.routing.route,
+            self.router.route,
             shard_count=self._shard_count,
-            max_body_bytes=self._parts.settings.batch.max_job_bytes,
+            max_body_bytes=self._deps.settings.batch.max_job_bytes,
         )
 
     def add_handlers(self, handlers: dict[type, Handler]) -> None:
         """Add the messages of jobs to the table of the peer server."""
-        on_summary = handlers[ttypes.Summary]
+        base_handler = handlers[ttypes.Summary]
 
-        async def take_summary(sender: PeerIdentity, news: Message) -> Message:
-            self.capacity.summary_received(sender.entry_id, news)
-            return await on_summary(sender, news)
+        async def handle_summary(
+            sender: PeerIdentity, summary: Message
+        ) -> Message:
+            self.capacity.on_peer_summary(sender.entry_id, summary)
+            return await base_handler(sender, summary)
 
-        handlers[ttypes.Summary] = take_summary
-        handlers[ttypes.JobCall] = self.routing.on_job_call
-        handlers[ttypes.TaskReports] = self.reports.on_peer_reports
+        handlers[ttypes.Summary] = handle_summary
+        handlers[ttypes.JobCall] = self.router.on_job_call
+        handlers[ttypes.TaskReports] = self.report_relay.on_peer_reports
 
-    def put_in_force(self, in_force: ActiveConfiguration) -> None:
+    def apply_configuration(self, active: ActiveConfiguration) -> None:
         """Follow a change of the configuration."""
         quotas: dict[TeamId, int] = {}
-        for quota in in_force.configuration.quotas:
+        for quota in active.configuration.quotas:
             until_ms = quota.valid_until_ms
             is_valid = until_ms is None or now_ms() < until_ms
             if quota.service == _QUOTA_SERVICE and is_valid:
                 quotas[TeamId(quota.team)] = quota.slots_count * _MILLICORES
         self._quotas = quotas
-        self._reserved = {
+        self._reserved_millicores = {
             service.name: service.reserved_processors_count * _MILLICORES
-            for service in in_force.configuration.services
+            for service in active.configuration.services
         }
-        self._measure_workers()
+        self._update_worker_sizes()
 
-    def workers_changed(self) -> None:
+    def on_workers_changed(self) -> None:
         """Follow a change of the roster."""
-        former = self._sizes
-        self._measure_workers()
-        if self._sizes - former:
+        former = self._worker_sizes
+        self._update_worker_sizes()
+        if self._worker_sizes - former:
             self._must_reconsider = True
-        for worker_id in tuple(self._gone_at_s):
-            if self._parts.worker_table.find(worker_id) is not None:
-                self._gone_at_s.pop(worker_id)
+        for worker_id in tuple(self._removal_due_at_s):
+            if self._deps.worker_table.find(worker_id) is not None:
+                self._removal_due_at_s.pop(worker_id)
 
-    def instance_gone(self, worker_id: WorkerId) -> None:
+    def on_instance_removed(self, worker_id: WorkerId) -> None:
         """Note that the list lost an instance.
 
         The list can be wrong or late. The worker's tasks end by themselves
         one lease after its last heartbeat, so it counts as gone after that.
         """
-        lease_s = self._parts.settings.capacity.worker_lease_ms / _MS_PER_S
-        due_at_s = self._parts.clock() + lease_s
-        self._gone_at_s.setdefault(worker_id, due_at_s)
+        lease_s = self._deps.settings.capacity.worker_lease_ms / _MS_PER_S
+        due_at_s = self._deps.clock() + lease_s
+        self._removal_due_at_s.setdefault(worker_id, due_at_s)
 
-    def _check_held(self) -> None:
+    def _check_held_workers(self) -> None:
         """Compare the workers of the placed tasks with the list.
 
         A shard that was just taken may have tasks on instances that the list
         lost before.
         """
         for worker_id in self.runner.held_workers():
-            if self._parts.worker_table.find(worker_id) is None:
-                self.instance_gone(worker_id)
+            if self._deps.worker_table.find(worker_id) is None:
+                self.on_instance_removed(worker_id)
 
-    def _seen(self, worker_id: WorkerId) -> None:
-        if self._gone_at_s.pop(worker_id, None) is not None:
-            self.instance_gone(worker_id)
+    def _on_worker_seen(self, worker_id: WorkerId) -> None:
+        if self._removal_due_at_s.pop(worker_id, None) is not None:
+            self.on_instance_removed(worker_id)
 
     def _on_lease(self, worker_id: WorkerId, reply: LeaseReply) -> None:
-        ledger = self._parts.capacity_manager.allocator.ledgers.get(worker_id)
+        ledger = self._deps.capacity_manager.allocator.ledgers.get(worker_id)
         if ledger is not None:
-            self._choice.follow(ledger)
-        self.reports.on_lease(worker_id, reply)
+            self._selector.update_index(ledger)
+        self.report_relay.on_lease(worker_id, reply)
 
-    def _owner_of_worker(self, worker_id: WorkerId) -> EntryId | None:
-        count = self._parts.settings.capacity.shard_count
+    def _get_worker_owner(self, worker_id: WorkerId) -> EntryId | None:
+        count = self._deps.settings.capacity.shard_count
         shard = shard_of(worker_id, count)
-        if shard in self._parts.capacity_ownership.owned:
-            return self._parts.settings.identity
-        record = self._parts.capacity_ownership.owner_of(shard)
+        if shard in self._deps.capacity_ownership.owned:
+            return self._deps.settings.identity
+        record = self._deps.capacity_ownership.owner_of(shard)
         return None if record is None else record.owner
 
-    def _records(self) -> Mapping[ShardId, OwnerRecord]:
-        return self._parts.ownership.records()
+    def _get_records(self) -> Mapping[ShardId, OwnerRecord]:
+        return self._deps.ownership.records()
 
     def _get_agent(self, worker_id: WorkerId) -> HttpWorkerAgent | None:
         try:
-            return self._parts.agents.get_agent(worker_id)
+            return self._deps.agents.get_agent(worker_id)
         except WorkerUnreachable:
             return None
 
-    def _quota_of(self, team: TeamId) -> int:
+    def _get_quota(self, team: TeamId) -> int:
         quota = self._quotas.get(team)
         if quota is None:
             return _NO_QUOTA_MILLICORES
         return quota // self._shard_count
 
-    def _size_of(self, size: TaskSpec) -> Demand:
-        corrected = self._usage.correct(size.task_class, size.demand)
+    def _get_reservation_size(self, size: TaskSpec) -> Demand:
+        corrected = self._usage_poller.correct(size.task_class, size.demand)
         # A wrong estimate must not make a job impossible.
         return corrected if self.capacity.can_hold(corrected) else size.demand
 
-    def _reserved_of(self, worker: Worker) -> Demand:
+    def _get_reserved_demand(self, worker: Worker) -> Demand:
         reserved = sum(
-            self._reserved.get(service, 0) for service in worker.services
+            self._reserved_millicores.get(service, 0)
+            for service in worker.services
         )
         return Demand(reserved, 0)
 
-    def _measure_workers(self) -> None:
-        self._sizes = frozenset(
-            _batch_size(worker, self._reserved_of(worker))
-            for worker in self._parts.worker_table.known()
+    def _update_worker_sizes(self) -> None:
+        self._worker_sizes = frozenset(
+            _get_batch_size(worker, self._get_reserved_demand(worker))
+            for worker in self._deps.worker_table.known()
         )
 
-    async def _forget(self) -> None:
+    async def _run_cleanup(self) -> None:
         while True:
-            await trio.sleep(_FORGET_S)
-            self._parts.capacity_manager.allocator.forget_ended()
+            await trio.sleep(_CLEANUP_INTERVAL_S)
+            self._deps.capacity_manager.allocator.forget_ended()
             for owned in self.runner.shards():
                 try:
                     await owned.forget_expired_jobs(now_ms())
                 except Failure as failure:
                     _log.info('not forgotten', reason=failure.reason.value)
 
-    async def _check(self) -> None:
+    async def _run_checks(self) -> None:
         while True:
-            self.capacity.count_own()
-            self._check_held()
-            now_s = self._parts.clock()
-            for worker_id, due_at_s in tuple(self._gone_at_s.items()):
+            self.capacity.update_own_capacity()
+            self._check_held_workers()
+            now_s = self._deps.clock()
+            for worker_id, due_at_s in tuple(self._removal_due_at_s.items()):
                 if due_at_s <= now_s:
-                    self._gone_at_s.pop(worker_id)
+                    self._removal_due_at_s.pop(worker_id)
                     self.runner.on_instance_gone(worker_id)
             if self._must_reconsider:
-                self._must_reconsider = not await self._reconsider()
-            await self._confirm_unseen(now_s)
-            await trio.sleep(_CHECK_S)
+                self._must_reconsider = not await self._reconsider_jobs()
+            await self._stop_unreported(now_s)
+            await trio.sleep(_CHECK_INTERVAL_S)
 
-    async def _reconsider(self) -> bool:
+    async def _reconsider_jobs(self) -> bool:
         for owned in self.runner.shards():
             try:
                 await owned.reconsider()
@@ -301,20 +304,22 @@
                 return False
         return True
 
-    async def _confirm_unseen(self, now_s: float) -> None:
+    async def _stop_unreported(self, now_s: float) -> None:
         async with trio.open_nursery() as nursery:
             for (
                 worker_id,
                 ledger,
-            ) in self._parts.capacity_manager.allocator.ledgers.items():
+            ) in self._deps.capacity_manager.allocator.ledgers.items():
                 if not ledger.accepts_work(now_s):
                     continue
                 for attempt in ledger.reservations.never_reported(
-                    now_s, _UNSEEN_S
+                    now_s, _UNREPORTED_S
                 ):
-                    nursery.start_soon(self._confirm, worker_id, attempt)
+                    nursery.start_soon(
+                        self._stop_and_release, worker_id, attempt
+                    )
 
-    async def _confirm(
+    async def _stop_and_release(
         self,
         worker_id: WorkerId,
         attempt: AttemptKey,
@@ -328,12 +333,12 @@
         except WorkerUnreachable:
             return
         if report.phase is TaskPhase.UNKNOWN:
-            self._parts.capacity_manager.allocator.release_attempt(
+            self._deps.capacity_manager.allocator.release_attempt(
                 worker_id, attempt
             )
 
 
-def _batch_size(worker: Worker, reserved: Demand) -> Demand:
+def _get_batch_size(worker: Worker, reserved: Demand) -> Demand:
     capacity = worker.capacity
     return Demand(
         capacity.cpu_millicores - reserved.cpu_millicores,
--- a/src/marjoramwharf/programs/_cell_metrics.py
+++ b/src/marjoramwharf/programs/_cell_metrics.py
@@ -28,13 +28,13 @@
 class CellMetrics:
     """Answers requests for the metrics.
 
-    ``cell`` returns the cell that this entry owns, if any.
+    ``get_cell`` returns the cell that this entry owns, if any.
     """
 
     counters: CellCounters
     client: LeanClient
     output: BoundedOutput | None
-    cell: Callable[[], Cell | None]
+    get_cell: Callable[[], Cell | None]
     _page: Any = None
     _lock: trio.Lock = field(default_factory=trio.Lock)
 
@@ -44,7 +44,7 @@
             return HttpReply(_NOT_FOUND)
         async with self._lock:
             if self._page is None:
-                self._page = await trio.to_thread.run_sync(_Page)
+                self._page = await trio.to_thread.run_sync(_MetricsPage)
             text: bytes = self._page.render(self._values(), self._samples())
         return HttpReply(200, text, content_type='text/plain; version=0.0.4')
 
@@ -52,9 +52,9 @@
         """Return totals by metric and label; '' for a metric without one."""
         counters = self.counters
         return {
-            'submissions_total': _by_value(counters.submissions),
-            'starts_total': _by_value(counters.starts),
-            'run_ends_total': _by_value(counters.ends),
+            'submissions_total': _count_by_value(counters.submissions),
+            'starts_total': _count_by_value(counters.starts),
+            'run_ends_total': _count_by_value(counters.ends),
             'finished_jobs_total': {
                 phase.name.lower(): count
                 for phase, count in counters.finished_jobs.items()
@@ -72,7 +72,7 @@
         }
 
     def _cell_values(self) -> Mapping[str, Mapping[str, float]]:
-        cell = self.cell()
+        cell = self.get_cell()
         if cell is None:
             return {'owns_cell': {'': 0}}
         workers = cell.worker_registry.fleet.workers.values()
@@ -96,7 +96,7 @@
         }
 
 
-class _Page:
+class _MetricsPage:
     """The registry of the metrics library."""
 
     def __init__(self) -> None:
@@ -106,7 +106,7 @@
         self._collectors = collectors
         self._registry = collectors.Registry()
         self._formatter = formats.text.TextFormatter()
-        self._known: dict[str, Any] = {}
+        self._metrics: dict[str, Any] = {}
 
     def render(
         self,
@@ -125,17 +125,17 @@
         return bytes(self._formatter.marshall(self._registry))
 
     def _metric(self, name: str, kind: Any) -> Any:
-        if name not in self._known:
+        if name not in self._metrics:
             options: dict[str, Any] = {'registry': self._registry}
             if kind is self._collectors.Histogram:
                 options['buckets'] = list(_BUCKETS_S)
-            self._known[name] = kind(
+            self._metrics[name] = kind(
                 _PREFIX + name,
                 name.replace('_', ' '),
                 **options,
             )
-        return self._known[name]
+        return self._metrics[name]
 
 
-def _by_value(counts: Mapping[Any, int]) -> dict[str, float]:
+def _count_by_value(counts: Mapping[Any, int]) -> dict[str, float]:
     return {member.value: count for member, count in counts.items()}
--- a/src/marjoramwharf/programs/_class_usage.py
+++ b/src/marjoramwharf/programs/_class_usage.py
@@ -22,10 +22,10 @@
 # Bounds the calls, since every report costs the worker a moment.
 _POLLS_PER_S = 4
 _MS_PER_S = 1_000
-_NOTHING = Demand(0, 0)
+_NO_DEMAND = Demand(0, 0)
 
 
-class ClassUsageFollower:
+class ClassUsagePoller:
     """Polls the owned workers in turns.
 
     Only the attempts that were reserved at this desk count, since only their
@@ -41,14 +41,14 @@
         clock: Callable[[], float],
     ) -> None:
         """Start without observations."""
-        self.estimates = SizeEstimator()
+        self.estimator = SizeEstimator()
         self._allocator = allocator
         self._get_agent = get_agent
         self._clock = clock
 
     def correct(self, task_class: str, declared: Demand) -> Demand:
         """Return the size to reserve for a task."""
-        return self.estimates.correct(
+        return self.estimator.correct(
             task_class,
             declared,
             now_s=self._clock(),
@@ -77,15 +77,15 @@
         """Compare a report with the declared sizes of what runs."""
         now_s = self._clock()
         taken_at_s = now_s - report.age_ms / _MS_PER_S
-        running = self._running(ledger, taken_at_s)
+        running = self._get_declared_sizes(ledger, taken_at_s)
         if running is None:
             return
-        for name, used in _used(report.classes):
+        for name, used in _sum_by_class(report.classes):
             declared = running.get(name)
             if declared is not None:
-                self.estimates.observe(name, declared, used, now_s=now_s)
+                self.estimator.observe(name, declared, used, now_s=now_s)
 
-    def _running(
+    def _get_declared_sizes(
         self,
         ledger: WorkerLedger,
         taken_at_s: float,
@@ -93,28 +93,30 @@
         """Return the declared sizes by class, ``None`` if one is unknown."""
         declared: dict[str, Demand] = {}
         for attempt in ledger.reservations.demands():
-            placement = self._allocator.request_of(attempt)
+            request = self._allocator.request_of(attempt)
             seen_at_s = ledger.reservations.seen_at_s(*attempt)
             is_usable = seen_at_s is not None and seen_at_s <= taken_at_s
-            if placement is None or not is_usable:
+            if request is None or not is_usable:
                 return None
-            size = placement.declared or placement.demand
-            name = placement.task_class
-            declared[name] = _plus(declared.get(name, _NOTHING), size)
+            size = request.declared or request.demand
+            name = request.task_class
+            declared[name] = _add_demands(declared.get(name, _NO_DEMAND), size)
         return declared
 
 
-def _used(classes: tuple[ClassUsage, ...]) -> Iterator[tuple[str, Demand]]:
-    found: defaultdict[str, Demand] = defaultdict(lambda: _NOTHING)
+def _sum_by_class(
+    classes: tuple[ClassUsage, ...],
+) -> Iterator[tuple[str, Demand]]:
+    total_by_class: defaultdict[str, Demand] = defaultdict(lambda: _NO_DEMAND)
     for usage in classes:
-        found[usage.class_name] = _plus(
-            found[usage.class_name],
+        total_by_class[usage.class_name] = _add_demands(
+            total_by_class[usage.class_name],
             Demand(int(usage.cpu_millicores), int(usage.memory_mb)),
         )
-    yield from found.items()
+    yield from total_by_class.items()
 
 
-def _plus(left: Demand, right: Demand) -> Demand:
+def _add_demands(left: Demand, right: Demand) -> Demand:
     return Demand(
         left.cpu_millicores + right.cpu_millicores,
         left.memory_mb + right.memory_mb,
--- a/src/marjoramwharf/programs/_client.py
+++ b/src/marjoramwharf/programs/_client.py
@@ -78,7 +78,7 @@
     """A request was sent and no complete answer came."""
 
 
-class Entries:
+class EntryClient:
     """The entries that a program may ask, in the given order."""
 
     def __init__(
@@ -101,7 +101,7 @@
         """The team that the requests name, empty without one."""
         return self._client.headers.get('X-Team', '')
 
-    def ask(
+    def send_to(
         self,
         url: str,
         method: str,
@@ -123,7 +123,7 @@
             raise AnswerLost(message=f'{url}: {failure!r}') from failure
         return Reply(url, answer.status_code, _decode(answer))
 
-    def ask_any(
+    def send_to_any(
         self,
         method: str,
         path: str,
@@ -138,25 +138,27 @@
         or a 503 that doesn't state "not run", as that of a load balancer.
         Raises the worst failure when no entry answers.
         """
-        self.require()
-        found: list[Reply | EntryUnreachable] = []
+        self.require_entries()
+        outcomes: list[Reply | EntryUnreachable] = []
         for url in self.urls:
-            answer = self._try(url, method, path, options)
-            found.append(answer)
-            if not _may_ask_next(answer, is_repeatable=is_repeatable):
+            answer = self._send_or_failure(url, method, path, options)
+            outcomes.append(answer)
+            if not _may_try_next(answer, is_repeatable=is_repeatable):
                 break
-        return _best(found)
+        return _select_outcome(outcomes)
 
-    def ask_all(
+    def send_to_all(
         self,
         method: str,
         path: str,
     ) -> list[Reply | EntryUnreachable]:
         """Ask every entry, and return a reply or a failure for each."""
-        self.require()
-        return [self._try(url, method, path, {}) for url in self.urls]
+        self.require_entries()
+        return [
+            self._send_or_failure(url, method, path, {}) for url in self.urls
+        ]
 
-    def require(self) -> None:
+    def require_entries(self) -> None:
         """Raise ``BadSettings`` if no entry is named."""
         if not self.urls:
             raise BadSettings(
@@ -165,7 +167,7 @@
                 ),
             )
 
-    def _try(
+    def _send_or_failure(
         self,
         url: str,
         method: str,
@@ -173,7 +175,7 @@
         options: Mapping[str, Any],
     ) -> Reply | EntryUnreachable:
         try:
-            return self.ask(url, method, path, **options)
+            return self.send_to(url, method, path, **options)
         except EntryUnreachable as failure:
             return failure
 
@@ -187,10 +189,10 @@
     return ExitCode.BAD_INPUT
 
 
-def entry_urls(named: Sequence[str]) -> tuple[str, ...]:
+def entry_urls(urls: Sequence[str]) -> tuple[str, ...]:
     """Return the named entries, or those of the environment variable."""
-    if named:
-        return tuple(named)
+    if urls:
+        return tuple(urls)
     listed = os.environ.get(ENTRIES_VARIABLE, '').split(',')
     return tuple(url.strip() for url in listed if url.strip())
 
@@ -230,31 +232,31 @@
     raise BadSettings(message=f'{path}: $: expected an object')
 
 
-def _may_ask_next(
+def _may_try_next(
     answer: Reply | EntryUnreachable,
     *,
     is_repeatable: bool,
 ) -> bool:
     if isinstance(answer, Reply):
-        is_proved = answer.exit_code is not ExitCode.UNKNOWN
+        is_outcome_known = answer.exit_code is not ExitCode.UNKNOWN
         is_unavailable = answer.status == HTTPStatus.SERVICE_UNAVAILABLE
-        return is_unavailable and (is_repeatable or is_proved)
+        return is_unavailable and (is_repeatable or is_outcome_known)
     return is_repeatable or not isinstance(answer, AnswerLost)
 
 
-def _best(found: Sequence[Reply | EntryUnreachable]) -> Reply:
+def _select_outcome(outcomes: Sequence[Reply | EntryUnreachable]) -> Reply:
     # A lost answer means that an entry may have acted; a later "not run" of
     # another entry doesn't settle that, only a final answer does.
-    last = found[-1]
-    if isinstance(last, Reply) and not _may_ask_next(last, is_repeatable=True):
+    last = outcomes[-1]
+    if isinstance(last, Reply) and not _may_try_next(last, is_repeatable=True):
         return last
-    for answer in found:
+    for answer in outcomes:
         if isinstance(answer, AnswerLost):
             raise answer
-    replies = [reply for reply in found if isinstance(reply, Reply)]
+    replies = [reply for reply in outcomes if isinstance(reply, Reply)]
     if replies:
         return max(replies, key=lambda reply: reply.exit_code)
-    raise EntryUnreachable(message='; '.join(map(str, found)))
+    raise EntryUnreachable(message='; '.join(map(str, outcomes)))
 
 
 def _decode(answer: httpx.Response) -> Mapping[str, Any]:
--- a/src/marjoramwharf/programs/_ctl_notes.py
+++ b/src/marjoramwharf/programs/_ctl_notes.py
@@ -18,7 +18,7 @@
 )
 from marjoramwharf.contracts.release_note import NoteFile, load_note
 from marjoramwharf.errors import BadNote, EntryUnreachable
-from marjoramwharf.programs._client import Entries, ExitCode, Reply
+from marjoramwharf.programs._client import EntryClient, ExitCode, Reply
 from marjoramwharf.programs._output import (
     print_json,
     print_refusal,
@@ -37,18 +37,18 @@
 
     file: pathlib.Path
 
-    def run(self, entries: Entries, *, as_json: bool) -> ExitCode:
+    def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
         """Print what is wrong, or that nothing is."""
         loaded = load_note(self.file)
-        base = 'not compared with the configuration in force'
-        if entries.urls:
-            before = _in_force(entries)
+        comparison = 'not compared with the configuration in force'
+        if client.urls:
+            before = _fetch_configuration(client)
             _apply(loaded, before)
-            base = f'fits revision {before.revision}'
+            comparison = f'fits revision {before.revision}'
         if as_json:
-            print_json({'note_id': loaded.note.note_id, 'message': base})
+            print_json({'note_id': loaded.note.note_id, 'message': comparison})
         else:
-            sys.stdout.write(f'{self.file}: note is valid, {base}\n')
+            sys.stdout.write(f'{self.file}: note is valid, {comparison}\n')
         return ExitCode.DONE
 
 
@@ -59,11 +59,11 @@
 
     file: pathlib.Path
 
-    def run(self, entries: Entries, *, as_json: bool) -> ExitCode:
+    def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
         """Print each changed field with the value before and after."""
         loaded = load_note(self.file)
-        before = _in_force(entries)
-        rows = list(differences(before, _apply(loaded, before)))
+        before = _fetch_configuration(client)
+        rows = list(diff_configurations(before, _apply(loaded, before)))
         print_rows(rows, as_json=as_json)
         return ExitCode.DONE
 
@@ -82,12 +82,12 @@
         ),
     ] = None
 
-    def run(self, entries: Entries, *, as_json: bool) -> ExitCode:
+    def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
         """Print the revision, or the conflict."""
         note = load_note(self.file).note
         if self.based_on is not None:
             note = msgspec.structs.replace(note, based_on=self.based_on)
-        reply = entries.ask_any(
+        reply = client.send_to_any(
             'POST',
             '/v1/notes',
             content=msgspec.json.encode(note),
@@ -106,19 +106,19 @@
 class NoteStatus:
     """Show which entry has which revision, and since when."""
 
-    def run(self, entries: Entries, *, as_json: bool) -> ExitCode:
+    def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
         """Print a row for each entry."""
-        found = entries.ask_all('GET', _CURRENT)
+        found = client.send_to_all('GET', _CURRENT)
         rows = [
             _status_row(url, answer)
-            for url, answer in zip(entries.urls, found, strict=True)
+            for url, answer in zip(client.urls, found, strict=True)
         ]
         newest = max(row['revision'] or 0 for row in rows)
         for row in rows:
             if row['revision'] is not None and row['revision'] < newest:
                 row['state'] = f'behind {newest}'
         print_rows(rows, as_json=as_json)
-        return worst_code(found)
+        return worst_exit_code(found)
 
 
 @cappa.command(name='history')
@@ -128,10 +128,10 @@
 
     limit: Annotated[int, cappa.Arg(long=True)] = 20
 
-    def run(self, entries: Entries, *, as_json: bool) -> ExitCode:
+    def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
         """Print a row for each note."""
         path = f'/v1/notes/history?limit={self.limit}'
-        reply = entries.ask_any('GET', path)
+        reply = client.send_to_any('GET', path)
         if reply.exit_code is not ExitCode.DONE:
             return print_reply(reply, '', as_json=as_json)
         rows = [
@@ -154,9 +154,9 @@
 class Show:
     """Show the whole configuration in force as JSON."""
 
-    def run(self, entries: Entries, *, as_json: bool) -> ExitCode:
+    def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
         """Print the configuration of the first entry that answers."""
-        reply = entries.ask_any('GET', _CURRENT)
+        reply = client.send_to_any('GET', _CURRENT)
         if reply.exit_code is ExitCode.DONE:
             print_json(reply.body)
             return ExitCode.DONE
@@ -172,12 +172,12 @@
         Check | Diff | Accept | NoteStatus | History | Show
     ] = field()
 
-    def run(self, entries: Entries, *, as_json: bool) -> ExitCode:
+    def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
         """Run the chosen command."""
-        return self.command.run(entries, as_json=as_json)
+        return self.command.run(client, as_json=as_json)
 
 
-class Refused(Exception):
+class EntryRefused(Exception):
     """An entry refused to show what a command needs."""
 
     def __init__(self, reply: Reply) -> None:
@@ -186,7 +186,7 @@
         self.reply = reply
 
 
-def differences(
+def diff_configurations(
     before: Configuration,
     after: Configuration,
 ) -> Iterator[dict[str, Any]]:
@@ -199,7 +199,7 @@
             yield {'field': name, 'before': values[0], 'after': values[1]}
 
 
-def worst_code(found: list[Reply | EntryUnreachable]) -> ExitCode:
+def worst_exit_code(found: list[Reply | EntryUnreachable]) -> ExitCode:
     """Return the code for answers of several entries."""
     return max(
         ExitCode.UNREACHABLE
@@ -209,10 +209,10 @@
     )
 
 
-def _in_force(entries: Entries) -> Configuration:
-    reply = entries.ask_any('GET', _CURRENT)
+def _fetch_configuration(client: EntryClient) -> Configuration:
+    reply = client.send_to_any('GET', _CURRENT)
     if reply.exit_code is not ExitCode.DONE:
-        raise Refused(reply)
+        raise EntryRefused(reply)
     try:
         return msgspec.convert(reply.body.get('configuration'), Configuration)
     except msgspec.ValidationError as failure:
@@ -237,15 +237,15 @@
         f'instances.{worker}': 'admitted' for worker in configuration.instances
     }
     for section in ('limits', 'policy'):
-        _put_fields(flat, section, getattr(configuration, section))
+        _add_fields(flat, section, getattr(configuration, section))
     for listed in ('services', 'quotas', 'task_classes'):
-        for thing in getattr(configuration, listed):
-            _put_fields(flat, f'{listed}.{thing.identity}', thing)
+        for item in getattr(configuration, listed):
+            _add_fields(flat, f'{listed}.{item.identity}', item)
     return flat
 
 
-def _put_fields(flat: dict[str, Any], prefix: str, thing: Any) -> None:
-    for name, setting in msgspec.structs.asdict(thing).items():
+def _add_fields(flat: dict[str, Any], prefix: str, item: Any) -> None:
+    for name, setting in msgspec.structs.asdict(item).items():
         if name not in {'name', 'team', 'service'}:
             flat[f'{prefix}.{name}'] = setting
 
--- a/src/marjoramwharf/programs/_gauges.py
+++ b/src/marjoramwharf/programs/_gauges.py
@@ -26,13 +26,13 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class GaugeParts:
+class GaugeDependencies:
     """The parts that are read."""
 
     store: GuardedStore
     capacity_manager: CapacityManager
     ownership: Ownership
-    path: ServicePath
+    service_path: ServicePath
     notes: NoteRegistry
     gate: DrainGate
 
@@ -40,9 +40,9 @@
 class Gauges:
     """Registers the metrics and brings them up to date."""
 
-    def __init__(self, parts: GaugeParts, registry: Registry) -> None:
+    def __init__(self, deps: GaugeDependencies, registry: Registry) -> None:
         """Register all metrics; ``collect`` gives them their values."""
-        self._parts = parts
+        self._deps = deps
         self._registry = registry
         self._collectors: list[Callable[[], None]] = []
         self._add_store()
@@ -55,19 +55,19 @@
             collect()
 
     def _add_store(self) -> None:
-        store = self._parts.store
-        self._count(
+        store = self._deps.store
+        self._add_counter(
             'store_calls_total',
             'Store calls by kind: made, retried, shed, failed, lost.',
-            lambda: _by_kind(store.counters),
+            lambda: _count_calls_by_kind(store.counters),
             label='kind',
         )
-        self._gauge(
+        self._add_gauge(
             'store_watches_count',
             'Open watches.',
             lambda: {'': store.counters.watches_count},
         )
-        self._gauge(
+        self._add_gauge(
             'store_health_state',
             '1 for the state of the store as this entry sees it.',
             lambda: {
@@ -77,9 +77,9 @@
         )
 
     def _add_capacity(self) -> None:
-        capacity_manager = self._parts.capacity_manager
+        capacity_manager = self._deps.capacity_manager
         ledgers = capacity_manager.allocator.ledgers
-        self._gauge(
+        self._add_gauge(
             'grants_lent_count',
             'Grants of owned workers that are lent, to this entry too.',
             lambda: {
@@ -88,71 +88,71 @@
                 ),
             },
         )
-        self._gauge(
+        self._add_gauge(
             'grants_borrowed_count',
             'Grants in the wallet of this entry.',
             lambda: {'': len(capacity_manager.borrower.lenders)},
         )
-        self._count(
+        self._add_counter(
             'grants_revoked_total',
             'Grants whose revocation a worker has acknowledged.',
             lambda: {'': capacity_manager.heartbeats.revoked_count},
         )
-        self._count(
+        self._add_counter(
             'heartbeats_failed_total',
             'Heartbeats to owned workers without a reply.',
             lambda: {'': capacity_manager.heartbeats.failed_count},
         )
-        self._gauge(
+        self._add_gauge(
             'owned_count',
             'Capacity shards and workers that this entry owns.',
             lambda: {
-                'shards': len(self._parts.ownership.owned),
+                'shards': len(self._deps.ownership.owned),
                 'workers': len(ledgers),
             },
             label='kind',
         )
 
     def _add_service(self) -> None:
-        path = self._parts.path
-        self._gauge(
+        path = self._deps.service_path
+        self._add_gauge(
             'queue_length_count',
             'Requests that wait for a permit.',
             lambda: {'': path.waiting_count()},
         )
-        self._count(
+        self._add_counter(
             'queue_waiting_seconds_total',
             'Time that requests have waited for a permit.',
             lambda: {'': sum(queue.total_wait_s for queue in path.queues())},
         )
-        self._count(
+        self._add_counter(
             'queue_shed_total',
             'Requests refused by the queue, by reason.',
-            lambda: _shed(path),
+            lambda: _count_shed_by_reason(path),
             label='reason',
         )
-        self._gauge(
+        self._add_gauge(
             'permits_in_doubt_count',
             'Permits whose call the worker has not settled yet.',
             lambda: {'': path.settlement.in_doubt_count},
         )
-        self._gauge(
+        self._add_gauge(
             'workers_ejected_count',
             'Workers that get no requests because their calls failed.',
             lambda: {'': path.health.ejected_count},
         )
-        self._gauge(
+        self._add_gauge(
             'note_revision',
             'Revision of the release note in force.',
-            lambda: {'': self._parts.notes.current.revision},
+            lambda: {'': self._deps.notes.current.revision},
         )
-        self._gauge(
+        self._add_gauge(
             'requests_in_flight_count',
             'Requests that are being served.',
-            lambda: {'': self._parts.gate.in_flight_count},
+            lambda: {'': self._deps.gate.in_flight_count},
         )
 
-    def _gauge(
+    def _add_gauge(
         self,
         name: str,
         doc: str,
@@ -161,9 +161,9 @@
         label: str = '',
     ) -> None:
         gauge = Gauge(f'marjoramwharf_{name}', doc, registry=self._registry)
-        self._add(gauge, read, label)
+        self._add_collector(gauge, read, label)
 
-    def _count(
+    def _add_counter(
         self,
         name: str,
         doc: str,
@@ -176,9 +176,9 @@
             doc,
             registry=self._registry,
         )
-        self._add(counter, read, label)
+        self._add_collector(counter, read, label)
 
-    def _add(
+    def _add_collector(
         self,
         metric: Gauge | Counter,
         read: Callable[[], _Values],
@@ -191,14 +191,17 @@
         self._collectors.append(collect)
 
 
-def _by_kind(counters: StoreCounters) -> _Values:
-    names = [part.name.removesuffix('_count') for part in fields(counters)]
+def _count_calls_by_kind(counters: StoreCounters) -> _Values:
+    names = [
+        counter_field.name.removesuffix('_count')
+        for counter_field in fields(counters)
+    ]
     by_kind = dict(zip(names, astuple(counters), strict=True))
     by_kind.pop('watches')
     return by_kind
 
 
-def _shed(path: ServicePath) -> _Values:
+def _count_shed_by_reason(path: ServicePath) -> _Values:
     shed: Counts[str] = Counts()
     for queue in path.queues():
         for reason, count in queue.shed_counts.items():
--- a/src/marjoramwharf/programs/_job_routing.py
+++ b/src/marjoramwharf/programs/_job_router.py
@@ -21,13 +21,13 @@
 _CALL_TIMEOUT_S = 8.0
 # A peer serves 64 calls of one connection at once. Above this number of
 # waiting calls, further ones get the present state instead.
-_WAITING_COUNT = 24
+_MAX_WAITING_CALLS_COUNT = 24
 _RETRY_AFTER_S = 1.0
 
 _MS_PER_S = 1_000
 
 
-class JobRouting:
+class JobRouter:
     """Serves job calls here or at the peer that the ownership record names."""
 
     def __init__(
@@ -51,19 +51,19 @@
             owned = self._runner.shard(shard)
             if owned is not None:
                 return await answer_job_call(owned, body, now_ms())
-            return await self._ask_owner(shard, method, body)
+            return await self._call_owner(shard, method, body)
 
     async def on_job_call(
         self,
         _sender: PeerIdentity,
-        asked: Message,
+        call: Message,
     ) -> Message:
         """Serve a call that a peer has passed on."""
-        owned = self._runner.shard(ShardId(asked.shard))
-        status, body = await answer_job_call(owned, asked.body, now_ms())
+        owned = self._runner.shard(ShardId(call.shard))
+        status, body = await answer_job_call(owned, call.body, now_ms())
         return ttypes.JobReply(status=status, body=body)
 
-    async def _ask_owner(
+    async def _call_owner(
         self,
         shard: ShardId,
         method: str,
@@ -78,17 +78,17 @@
                 message='the owner of the shard is not reachable',
                 retry_after_s=_RETRY_AFTER_S,
             )
-        wait_s = _wait_of(method, body)
-        if wait_s and self._waiting_count >= _WAITING_COUNT:
-            return await _call(peer, shard, method, _without_wait(body), 0)
+        wait_s = _get_wait_s(method, body)
+        if wait_s and self._waiting_count >= _MAX_WAITING_CALLS_COUNT:
+            return await _send_call(peer, shard, method, _without_wait(body), 0)
         self._waiting_count += bool(wait_s)
         try:
-            return await _call(peer, shard, method, body, wait_s)
+            return await _send_call(peer, shard, method, body, wait_s)
         finally:
             self._waiting_count -= bool(wait_s)
 
 
-async def _call(
+async def _send_call(
     peer: PeerCaller,
     shard: ShardId,
     method: str,
@@ -102,7 +102,7 @@
     return reply.status, reply.body
 
 
-def _wait_of(method: str, body: bytes) -> float:
+def _get_wait_s(method: str, body: bytes) -> float:
     if method != 'status':
         return 0
     return float(json.decode(body).get('wait_s', 0))
--- a/src/marjoramwharf/programs/_job_shards.py
+++ b/src/marjoramwharf/programs/_job_shards.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class _Served:
+class _ServedShard:
     epoch: Epoch
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     ended: trio.Event = field(default_factory=trio.Event)
@@ -61,25 +61,27 @@
         self._settings = settings
         self._policy = policy
         self._view = view
-        self._served: dict[ShardId, _Served] = {}
+        self._served: dict[ShardId, _ServedShard] = {}
         self._lease_s = entry_lease_s
         # After an outage, which may have ended just before the start, the
         # entries register again one by one. Until then, a missing member does
         # not show that it is dead.
-        self._settled_at_s: float = 0
+        self._takeover_allowed_at_s: float = 0
         self._is_stopping = False
 
     async def run(self) -> None:
         """Follow the members and the records until cancelled."""
-        self._settled_at_s = trio.current_time() + self._lease_s
+        self._takeover_allowed_at_s = trio.current_time() + self._lease_s
         async with trio.open_nursery() as nursery:
             while not self._is_stopping:
                 now_s = trio.current_time()
                 if not await self._ownership.refresh(
-                    may_take_over=now_s >= self._settled_at_s,
+                    may_take_over=now_s >= self._takeover_allowed_at_s,
                 ):
-                    self._settled_at_s = now_s + _REFRESH_S + self._lease_s
-                await self._follow(nursery)
+                    self._takeover_allowed_at_s = (
+                        now_s + _REFRESH_S + self._lease_s
+                    )
+                await self._reconcile(nursery)
                 with trio.move_on_after(_REFRESH_S):
                     await self._view.wait_change()
 
@@ -90,34 +92,34 @@
             for shard in tuple(self._ownership.owned):
                 nursery.start_soon(self._hand_over, shard)
 
-    async def _follow(self, nursery: trio.Nursery) -> None:
+    async def _reconcile(self, nursery: trio.Nursery) -> None:
         if self._is_stopping:
             return
         owned = dict(self._ownership.owned)
         for shard, served in tuple(self._served.items()):
             if owned.get(shard) != served.epoch:
-                await self._end(shard)
+                await self._stop_serving(shard)
         for taken, epoch in owned.items():
             if taken not in self._served:
-                begun = _Served(epoch)
-                self._served[taken] = begun
-                nursery.start_soon(self._serve, taken, begun)
-        if trio.current_time() < self._settled_at_s:
+                started = _ServedShard(epoch)
+                self._served[taken] = started
+                nursery.start_soon(self._serve, taken, started)
+        if trio.current_time() < self._takeover_allowed_at_s:
             return
         # One at a time, since a shard is without an owner for a moment.
         for moved in self._ownership.misplaced()[:1]:
             await self._hand_over(moved)
 
-    async def _serve(self, shard: ShardId, served: _Served) -> None:
+    async def _serve(self, shard: ShardId, served: _ServedShard) -> None:
         with served.scope:
-            await self._recover_and_own(shard, served.epoch)
+            await self._recover_and_serve(shard, served.epoch)
             # The journal met the record of another owner.
             self._ownership.mark_lost(shard)
         if self._served.get(shard) is served:
             self._served.pop(shard)
         served.ended.set()
 
-    async def _recover_and_own(self, shard: ShardId, epoch: Epoch) -> None:
+    async def _recover_and_serve(self, shard: ShardId, epoch: Epoch) -> None:
         revision = self._ownership.revision_of(shard)
         settings = self._settings
         journal = Journal(
@@ -156,10 +158,10 @@
                         shard=shard,
                         reason=failure.reason.value,
                     )
-        await self._end(shard)
+        await self._stop_serving(shard)
         await self._ownership.hand_over(shard)
 
-    async def _end(self, shard: ShardId) -> None:
+    async def _stop_serving(self, shard: ShardId) -> None:
         served = self._served.get(shard)
         if served is not None:
             served.scope.cancel()
--- a/src/marjoramwharf/programs/_platform.py
+++ b/src/marjoramwharf/programs/_platform.py
@@ -20,12 +20,12 @@
 # Bounds how late a lost or free shard is noticed when no member changes.
 _REFRESH_S = 2
 # Balances the entries after a start without moving much at a time.
-_MOVED_AT_ONCE_COUNT = 1
+_MAX_MOVED_AT_ONCE_COUNT = 1
 
 _log = part_logger('platform')
 
 
-def known_incarnations(
+def incarnation_lookup(
     view: MemberView,
 ) -> Callable[[], Mapping[EntryId, Incarnation]]:
     """Return a function that maps each known entry to its incarnation."""
@@ -37,14 +37,14 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ListFollower:
+class DirectoryPoller:
     """Polls the platform's list into the roster."""
 
     client: DirectoryClient
     worker_table: WorkerTable
     poll_s: float
     on_change: Callable[[], None]
-    on_gone: Callable[[str], None]
+    on_removed: Callable[[str], None]
 
     async def run(
         self,
@@ -68,12 +68,12 @@
         change = self.worker_table.apply(listing)
         self.on_change()
         for worker_id in change.removed:
-            self.on_gone(worker_id)
+            self.on_removed(worker_id)
         return True
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ShardFollower:
+class CapacityShards:
     """Takes capacity shards and owns their workers."""
 
     ownership: Ownership
@@ -97,14 +97,14 @@
         listed = {
             worker.worker_id: worker for worker in self.worker_table.known()
         }
-        waiting = assign_workers(
+        outdated_shards = assign_workers(
             self.capacity_manager,
             listed,
             self.ownership.owned,
             self.settings,
             self.clock(),
         )
-        for shard in waiting:
+        for shard in outdated_shards:
             await self.ownership.advance_epoch(shard)
 
     async def hand_over_all(self) -> None:
@@ -113,6 +113,6 @@
             await self.ownership.hand_over(shard)
 
     async def _hand_over_misplaced(self) -> None:
-        for shard in self.ownership.misplaced()[:_MOVED_AT_ONCE_COUNT]:
+        for shard in self.ownership.misplaced()[:_MAX_MOVED_AT_ONCE_COUNT]:
             await self.ownership.hand_over(shard)
             await self.assign()
--- a/src/marjoramwharf/programs/_service_path.py
+++ b/src/marjoramwharf/programs/_service_path.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ServicePathParts:
+class ServicePathDependencies:
     """What the path is built from."""
 
     settings: ServiceSettings
@@ -55,37 +55,37 @@
 class ServicePath:
     """Queues, router and dispatcher of one entry."""
 
-    def __init__(self, parts: ServicePathParts) -> None:
+    def __init__(self, deps: ServicePathDependencies) -> None:
         """Wire the parts; nothing runs yet."""
-        self._parts = parts
+        self._deps = deps
         self.services: frozenset[str] = frozenset()
         self._queues: dict[ServiceId, Admission] = {}
         self._latencies = LatencyEstimator()
         self._router = Router(
-            permits=parts.capacity_manager.permit_pool,
+            permits=deps.capacity_manager.permit_pool,
             latencies=self._latencies,
             round_trip_ms=self._round_trip_ms,
-            rng=parts.rng,
+            rng=deps.rng,
         )
         self.health = WorkerHealth(
-            max_ejected_share=parts.settings.max_ejected_share,
+            max_ejected_share=deps.settings.max_ejected_share,
         )
         self.settlement = Settlement(
-            parts.agents.get_agent,
+            deps.agents.get_agent,
             self._release,
-            parts.rng,
+            deps.rng,
         )
         self._policy = RetryPolicy(
-            RetryBudget(parts.settings.retry_budget_share, parts.clock()),
+            RetryBudget(deps.settings.retry_budget_share, deps.clock()),
         )
         self._dispatcher = Dispatcher(self._dispatch_dependencies())
-        parts.capacity_manager.on_refilled = self._on_supplied
+        deps.capacity_manager.on_refilled = self._on_refilled
 
     async def run(self) -> None:
         """Settle calls in doubt and serve the queues until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.settlement.run)
-            nursery.start_soon(self._parts.claims.run)
+            nursery.start_soon(self._deps.claims.run)
             nursery.start_soon(self._poll_queues)
 
     async def serve(self, request: ServiceRequest) -> Outcome:
@@ -97,18 +97,18 @@
         outcome = await look_up_outcome(
             team,
             key,
-            claims=self._parts.claims,
-            get_agent=self._parts.agents.get_agent,
-            rng=self._parts.rng,
+            claims=self._deps.claims,
+            get_agent=self._deps.agents.get_agent,
+            rng=self._deps.rng,
             timeout_s=_LOOKUP_TIMEOUT_S,
         )
         if outcome is None:
             return NotRun(Reason.UNKNOWN_KEY, f'no request with key {key!r}')
         return outcome
 
-    def put_in_force(self, in_force: ActiveConfiguration) -> None:
+    def apply_configuration(self, active: ActiveConfiguration) -> None:
         """Follow a change of the configuration."""
-        configuration: Configuration = in_force.configuration
+        configuration: Configuration = active.configuration
         self.services = frozenset(
             service.name for service in configuration.services
         )
@@ -117,9 +117,9 @@
             self._router.routing is Routing.PREDICTED
         )
 
-    def workers_changed(self) -> None:
+    def on_workers_changed(self) -> None:
         """Follow a change of the roster."""
-        live = self._parts.worker_table.live()
+        live = self._deps.worker_table.live()
         self.health.set_workers(
             frozenset(worker.worker_id for worker in live),
         )
@@ -143,42 +143,42 @@
             acquire=self._acquire,
             acquire_idle=self._acquire_idle,
             release=self._release,
-            refused=self._refused,
+            refused=self._on_refused,
             observe=self._latencies.observe,
             observe_lower_bound=self._latencies.observe_lower_bound,
-            enqueue_settle=self._doubt,
-            enqueue_cancel=self._abandon,
-            get_agent=self._parts.agents.get_agent,
-            claims=self._parts.claims,
+            enqueue_settle=self._settle_later,
+            enqueue_cancel=self._cancel_later,
+            get_agent=self._deps.agents.get_agent,
+            claims=self._deps.claims,
             policy=self._policy,
             health=self.health,
-            clock=self._parts.clock,
-            rng=self._parts.rng,
+            clock=self._deps.clock,
+            rng=self._deps.rng,
         )
 
     async def _acquire(
         self,
         request: ServiceRequest,
-        avoided: frozenset[WorkerId],
+        excluded: frozenset[WorkerId],
     ) -> Permit | NotRun:
-        return await self._queue_of(request.service).acquire(request, avoided)
+        return await self._get_queue(request.service).acquire(request, excluded)
 
     def _acquire_idle(
         self,
         request: ServiceRequest,
-        avoided: frozenset[WorkerId],
+        excluded: frozenset[WorkerId],
     ) -> Permit | None:
-        return self._queue_of(request.service).acquire_idle(request, avoided)
+        return self._get_queue(request.service).acquire_idle(request, excluded)
 
-    def _queue_of(self, service: ServiceId) -> Admission:
+    def _get_queue(self, service: ServiceId) -> Admission:
         queue = self._queues.get(service)
         if queue is None:
-            queue = self._new_queue()
+            queue = self._build_queue()
             self._queues[service] = queue
         return queue
 
-    def _new_queue(self) -> Admission:
-        settings = self._parts.settings
+    def _build_queue(self) -> Admission:
+        settings = self._deps.settings
         return Admission(
             queue=AdmissionQueue(
                 limit=settings.queue_limit,
@@ -187,7 +187,7 @@
             choose=self._choose,
             put_back=self._release,
             service_time_s=self._service_time_s,
-            clock=self._parts.clock,
+            clock=self._deps.clock,
         )
 
     def _choose(
@@ -197,39 +197,39 @@
         now_s: float,
     ) -> Permit | None:
         permit = self._router.choose(service, excluded, now_s)
-        capacity_manager = self._parts.capacity_manager
+        capacity_manager = self._deps.capacity_manager
         if permit is None and capacity_manager.refill(service, excluded, now_s):
             permit = self._router.choose(service, excluded, now_s)
         if permit is not None:
             capacity_manager.borrow_ahead(service, now_s)
         return permit
 
-    def _on_supplied(self, service: ServiceId) -> None:
+    def _on_refilled(self, service: ServiceId) -> None:
         queue = self._queues.get(service)
         if queue is not None:
             queue.serve()
 
     def _release(self, permit: Permit) -> None:
-        self._parts.capacity_manager.permit_pool.put_back(
-            permit, self._parts.clock()
+        self._deps.capacity_manager.permit_pool.put_back(
+            permit, self._deps.clock()
         )
-        self._call_ended(permit)
+        self._on_call_ended(permit)
 
-    def _refused(self, permit: Permit, refusal: WorkerRefusal) -> None:
+    def _on_refused(self, permit: Permit, refusal: WorkerRefusal) -> None:
         if refusal is WorkerRefusal.LEAVING:
-            self._parts.worker_table.mark_leaving(permit.worker_id)
-        self._parts.capacity_manager.refused(permit, refusal)
-        self._call_ended(permit)
+            self._deps.worker_table.mark_leaving(permit.worker_id)
+        self._deps.capacity_manager.refused(permit, refusal)
+        self._on_call_ended(permit)
 
-    def _doubt(self, permit: Permit, call_id: CallId) -> None:
-        self._parts.capacity_manager.permit_pool.mark_in_doubt(permit)
+    def _settle_later(self, permit: Permit, call_id: CallId) -> None:
+        self._deps.capacity_manager.permit_pool.mark_in_doubt(permit)
         self.settlement.enqueue_settle(permit, call_id)
 
-    def _abandon(self, permit: Permit, call_id: CallId) -> None:
-        self._parts.capacity_manager.permit_pool.mark_in_doubt(permit)
+    def _cancel_later(self, permit: Permit, call_id: CallId) -> None:
+        self._deps.capacity_manager.permit_pool.mark_in_doubt(permit)
         self.settlement.enqueue_cancel(permit, call_id)
 
-    def _call_ended(self, permit: Permit) -> None:
+    def _on_call_ended(self, permit: Permit) -> None:
         self._router.record_call_end(permit)
         for queue in self._queues.values():
             queue.on_permit_released()
@@ -238,11 +238,11 @@
         return self._latencies.mean_ms(service) / 1_000
 
     def _round_trip_ms(self, worker_id: WorkerId) -> float:
-        worker = self._parts.worker_table.find(worker_id)
+        worker = self._deps.worker_table.find(worker_id)
         if worker is None:
             return 0
-        one_way_ms = self._parts.topology.delay_ms(
-            self._parts.home,
+        one_way_ms = self._deps.topology.delay_ms(
+            self._deps.home,
             worker.data_centre,
         )
         return 2 * one_way_ms
--- a/src/marjoramwharf/programs/_settings_reference.py
+++ b/src/marjoramwharf/programs/_settings_reference.py
@@ -43,9 +43,9 @@
 
 
 def _rows(prefix: str, info: Any) -> Iterator[str]:
-    for entry in info.fields:
-        path = f'{prefix}{entry.encode_name}'
-        inner = _without_none(entry.type)
+    for field in info.fields:
+        path = f'{prefix}{field.encode_name}'
+        inner = _without_none(field.type)
         if isinstance(inner, inspect.StructType):
             yield from _rows(f'{path}.', inner)
             continue
@@ -53,7 +53,7 @@
         if isinstance(element, inspect.StructType):
             yield from _rows(f'{path}[].', element)
             continue
-        cells = (f'`{path}`', _kind(inner), _range(inner), _default(entry))
+        cells = (f'`{path}`', _kind(inner), _range(inner), _default(field))
         text = ' | '.join(cell.replace('|', r'\|') for cell in cells)
         yield f'| {text} |\n'
 
@@ -87,11 +87,11 @@
     return ', '.join(bounds)
 
 
-def _default(entry: Any) -> str:
-    if entry.required:
+def _default(field: Any) -> str:
+    if field.required:
         return 'required'
-    if entry.default is None:
+    if field.default is None:
         return 'none'
-    if entry.default is NODEFAULT:
+    if field.default is NODEFAULT:
         return 'empty'
-    return json.encode(entry.default).decode()
+    return json.encode(field.default).decode()
--- a/src/marjoramwharf/programs/_task_placement.py
+++ b/src/marjoramwharf/programs/_task_placement.py
@@ -35,75 +35,75 @@
 
 # The index follows the ledgers with a delay of one heartbeat, so a choice
 # can be outdated; each try corrects one worker's entry.
-_TRIES_COUNT = 4
-_CLOSED_S = 1.0
+_MAX_TRIES_COUNT = 4
+_CORDON_S = 1.0
 
 # Owners asked for one task before it waits for the next round.
-_OWNERS_ASKED_COUNT = 3
+_MAX_OWNERS_ASKED_COUNT = 3
 
 
-class IndexedChoice:
+class IndexedWorkerSelector:
     """Chooses an owned worker for a task with a placement index.
 
-    ``reserved_of`` returns what is kept free on a worker for its services.
+    ``get_reserved_demand`` returns what is kept free on a worker for its services.
     """
 
     def __init__(
         self,
-        reserved_of: Callable[[Worker], Demand],
+        get_reserved_demand: Callable[[Worker], Demand],
         *,
         seed: int,
     ) -> None:
         """Start without workers."""
-        self._reserved_of = reserved_of
+        self._get_reserved_demand = get_reserved_demand
         self._index = PlacementIndex(_no_penalty, seed=seed)
 
     def choose(
         self,
         ledgers: Ledgers,
-        placement: AttemptRequest,
+        attempt_request: AttemptRequest,
         now_s: float,
     ) -> WorkerLedger | None:
         """Return a worker with room; the cost is independent of their number."""
-        request = PlacementRequest(
-            task_id=placement.task_id,
-            job=_job_of(placement.task_id),
-            demand=placement.demand,
-            task_class=placement.task_class,
-            avoid_racks=frozenset(map(RackId, placement.avoid_racks)),
-            avoid_workers=placement.avoid_workers,
+        placement_request = PlacementRequest(
+            task_id=attempt_request.task_id,
+            job=_get_job_id(attempt_request.task_id),
+            demand=attempt_request.demand,
+            task_class=attempt_request.task_class,
+            avoid_racks=frozenset(map(RackId, attempt_request.avoid_racks)),
+            avoid_workers=attempt_request.avoid_workers,
         )
-        for _ in range(_TRIES_COUNT):
-            found = self._index.place(request, now_s)
+        for _ in range(_MAX_TRIES_COUNT):
+            found = self._index.place(placement_request, now_s)
             if isinstance(found, NoFit):
                 return None
             ledger = ledgers.get(found)
             if ledger is None:
                 self._index.remove(found)
-            elif has_capacity(ledger, placement, now_s):
+            elif has_capacity(ledger, attempt_request, now_s):
                 return ledger
             else:
-                self.follow(ledger)
-                self._index.cordon(found, now_s + _CLOSED_S)
+                self.update_index(ledger)
+                self._index.cordon(found, now_s + _CORDON_S)
         return None
 
-    def follow(self, ledger: WorkerLedger) -> None:
+    def update_index(self, ledger: WorkerLedger) -> None:
         """Take over what a ledger holds, after a report of its worker."""
         worker = ledger.worker
         if ledger.leaving:
             self._index.remove(worker.worker_id)
             return
-        self._index.add(worker, self._reserved_of(worker))
+        self._index.add(worker, self._get_reserved_demand(worker))
         for attempt, demand in ledger.reservations.demands().items():
             task_id = attempt[0]
             self._index.hold(
                 worker.worker_id,
                 task_id,
                 demand,
-                _job_of(task_id),
+                _get_job_id(task_id),
             )
 
-    def released(self, worker_id: WorkerId, attempt: AttemptKey) -> None:
+    def on_released(self, worker_id: WorkerId, attempt: AttemptKey) -> None:
         """Free the room of an attempt."""
         self._index.free(worker_id, attempt[0])
 
@@ -136,35 +136,35 @@
         self._now = now
         self._free_millicores: dict[EntryId, int] = {}
 
-    def count_own(self) -> None:
+    def update_own_capacity(self) -> None:
         """Take over the free processors of the own workers."""
         self._free_millicores[self._entry_id] = free_millicores(self._allocator)
 
-    def summary_received(self, sender: EntryId, news: Message) -> None:
+    def on_peer_summary(self, sender: EntryId, summary: Message) -> None:
         """Take over the free processors of a peer's workers."""
-        self._free_millicores[sender] = news.free_millicores or 0
+        self._free_millicores[sender] = summary.free_millicores or 0
 
     async def reserve(
-        self, ask: ReservationRequest
+        self, request: ReservationRequest
     ) -> Reservation | NoWorkerFound:
         """Ask a few owners, at random in proportion to what is free there.
 
         An owner whose answer was lost frees the reservation after the worker
         has confirmed that the attempt never ran.
         """
-        if not self.can_hold(ask.demand):
+        if not self.can_hold(request.demand):
             return NoWorkerFound(Reason.NEVER_FITS)
         peers = self._peers()
-        for owner in self._owners(ask.demand, peers):
-            found = await self._ask(owner, peers.get(owner), ask)
+        for owner in self._draw_owners(request.demand, peers):
+            found = await self._try_reserve(owner, peers.get(owner), request)
             if found is not None:
-                self._free_millicores[owner] -= ask.demand.cpu_millicores
+                self._free_millicores[owner] -= request.demand.cpu_millicores
                 return found
             # Until its next summary, this owner is not asked again for tasks
             # of this size.
             self._free_millicores[owner] = min(
                 self._free_millicores[owner],
-                ask.demand.cpu_millicores - 1,
+                request.demand.cpu_millicores - 1,
             )
         return NoWorkerFound()
 
@@ -186,7 +186,7 @@
         sizes = self._sizes()
         return not sizes or any(_fits(demand, size) for size in sizes)
 
-    def _owners(
+    def _draw_owners(
         self,
         demand: Demand,
         peers: Mapping[EntryId, PeerCaller],
@@ -198,57 +198,59 @@
             and (owner == self._entry_id or owner in peers)
         }
         # Weighted sampling without replacement (Efraimidis and Spirakis).
-        drawn = sorted(
+        owners = sorted(
             weights,
             key=lambda owner: self._rng.random() ** (1 / weights[owner]),
             reverse=True,
         )
-        return drawn[:_OWNERS_ASKED_COUNT]
+        return owners[:_MAX_OWNERS_ASKED_COUNT]
 
-    async def _ask(
+    async def _try_reserve(
         self,
         owner: EntryId,
         peer: PeerCaller | None,
-        ask: ReservationRequest,
+        request: ReservationRequest,
     ) -> Reservation | None:
         try:
             if peer is None:
-                return self._reserve_here(ask)
-            return await _reserve_at(peer, ask)
+                return self._reserve_locally(request)
+            return await _reserve_at(peer, request)
         except (PeerRefused, PeerUnreachable):
             return None
 
-    def _reserve_here(self, ask: ReservationRequest) -> Reservation:
-        placement = AttemptRequest(
-            task_id=ask.task_id,
-            fence=ask.fence,
-            demand=ask.demand,
-            task_class=ask.task_class,
-            priority=int(ask.priority),
-            avoid_workers=ask.avoid_workers,
-            declared=ask.declared,
+    def _reserve_locally(self, request: ReservationRequest) -> Reservation:
+        attempt_request = AttemptRequest(
+            task_id=request.task_id,
+            fence=request.fence,
+            demand=request.demand,
+            task_class=request.task_class,
+            priority=int(request.priority),
+            avoid_workers=request.avoid_workers,
+            declared=request.declared,
         )
-        ledger = self._allocator.reserve(placement, self._now())
+        ledger = self._allocator.reserve(attempt_request, self._now())
         worker_id = ledger.worker.worker_id
         return Reservation(
             worker_id,
             ledger.epoch,
-            reservation_id(placement, worker_id),
+            reservation_id(attempt_request, worker_id),
         )
 
 
-async def _reserve_at(peer: PeerCaller, ask: ReservationRequest) -> Reservation:
+async def _reserve_at(
+    peer: PeerCaller, request: ReservationRequest
+) -> Reservation:
     reply = await peer.call(
         ttypes.Reserve(
-            task_id=ask.task_id,
-            attempt=ask.fence[1],
-            demand=demand_message(ask.demand),
-            task_class=ask.task_class,
-            priority=int(ask.priority),
+            task_id=request.task_id,
+            attempt=request.fence[1],
+            demand=demand_message(request.demand),
+            task_class=request.task_class,
+            priority=int(request.priority),
             avoid_racks=[],
-            avoid_workers=sorted(ask.avoid_workers),
-            shard_epoch=ask.fence[0],
-            declared=demand_message(ask.declared or ask.demand),
+            avoid_workers=sorted(request.avoid_workers),
+            shard_epoch=request.fence[0],
+            declared=demand_message(request.declared or request.demand),
         ),
         timeout_s=PEER_TIMEOUT_S,
     )
@@ -276,7 +278,7 @@
     )
 
 
-def _job_of(task_id: TaskId) -> str:
+def _get_job_id(task_id: TaskId) -> str:
     return task_id.rpartition('.')[0]
 
 
--- a/src/marjoramwharf/programs/_task_reports.py
+++ b/src/marjoramwharf/programs/_task_reports.py
@@ -25,21 +25,21 @@
 from marjoramwharf.machines.calls import LeaseReply, TaskPhase, TaskReport
 from marjoramwharf.programs._task_placement import demand_message
 
-_INTERVAL_S = 1.0
+_SEND_INTERVAL_S = 1.0
 # Groups the ends that several workers report at the same time.
-_GROUP_S = 0.05
+_BATCH_DELAY_S = 0.05
 _NO_EPOCH = Epoch(0)
 # Replies of one worker that wait while the store is slow. An end that is
 # dropped with an old reply is asked for when the task is missing later.
-_QUEUE_COUNT = 8
+_MAX_QUEUED_REPLIES_COUNT = 8
 
 _Queue: TypeAlias = deque[tuple[LeaseReply, frozenset[ShardId] | None]]
 
 
-class TaskReports:
+class TaskReportRelay:
     """Takes in the reports of workers and passes on those of other owners.
 
-    ``records`` returns the ownership records of the job shards, ``on_seen``
+    ``records`` returns the ownership records of the job shards, ``on_worker_seen``
     is called for each worker that is known to have answered.
     """
 
@@ -50,14 +50,14 @@
         *,
         records: Callable[[], Mapping[ShardId, OwnerRecord]],
         peers: Callable[[], Mapping[EntryId, PeerCaller]],
-        on_seen: Callable[[WorkerId], None],
+        on_worker_seen: Callable[[WorkerId], None],
     ) -> None:
         """Start without reports."""
         self._runner = runner
         self._entry_id = entry_id
         self._records = records
         self._peers = peers
-        self._on_seen = on_seen
+        self._on_worker_seen = on_worker_seen
         self._nursery: trio.Nursery | None = None
         self._latest: dict[WorkerId, LeaseReply] = {}
         # Ends that a job owner has received, with the epoch of its shard: a
@@ -65,8 +65,8 @@
         self._passed_on: dict[WorkerId, dict[TaskReport, Epoch]] = {}
         self._unsent: defaultdict[EntryId, set[WorkerId]] = defaultdict(set)
         self._queues: dict[WorkerId, _Queue] = {}
-        self._busy: set[EntryId] = set()
-        self._has_news = trio.Event()
+        self._busy_owners: set[EntryId] = set()
+        self._has_new_ends = trio.Event()
 
     async def run(
         self,
@@ -78,65 +78,72 @@
             self._nursery = nursery
             task_status.started()
             while True:
-                with trio.move_on_after(_INTERVAL_S):
-                    await self._has_news.wait()
-                    await trio.sleep(_GROUP_S)
-                self._has_news = trio.Event()
+                with trio.move_on_after(_SEND_INTERVAL_S):
+                    await self._has_new_ends.wait()
+                    await trio.sleep(_BATCH_DELAY_S)
+                self._has_new_ends = trio.Event()
                 self._send_all(nursery)
 
     def on_lease(self, worker_id: WorkerId, reply: LeaseReply) -> None:
         """Take in the reply of an owned worker."""
-        self._on_seen(worker_id)
+        self._on_worker_seen(worker_id)
         self._latest[worker_id] = reply
-        self._start_taking(worker_id, reply, None)
-        known = self._passed_on.setdefault(worker_id, {})
-        kept = set(reply.tasks)
+        self._enqueue(worker_id, reply, None)
+        passed_on = self._passed_on.setdefault(worker_id, {})
+        current = set(reply.tasks)
         self._passed_on[worker_id] = {
-            report: epoch for report, epoch in known.items() if report in kept
+            report: epoch
+            for report, epoch in passed_on.items()
+            if report in current
         }
         records = self._records()
         owners = {record.owner for record in records.values()}
         for owner in owners - {self._entry_id, EntryId('')}:
             self._unsent[owner].add(worker_id)
-        if any(self._is_end(known, records, report) for report in reply.tasks):
-            self._has_news.set()
+        if any(
+            self._is_unreported_end(passed_on, records, report)
+            for report in reply.tasks
+        ):
+            self._has_new_ends.set()
 
     async def on_peer_reports(
         self,
         _sender: PeerIdentity,
-        news: Message,
+        message: Message,
     ) -> Message:
         """Take in the reports of a peer's workers.
 
         The answer does not wait for the store: the outcomes are tried again
         here until they are durable, and a later owner asks by itself.
         """
-        for worker in news.workers:
+        for worker in message.workers:
             worker_id = WorkerId(worker.worker_id)
-            self._on_seen(worker_id)
+            self._on_worker_seen(worker_id)
             reply = LeaseReply(
                 epoch=_NO_EPOCH,
                 leaving=False,
                 running=(),
-                tasks=tuple(map(_report_of, worker.reports)),
+                tasks=tuple(map(_decode_report, worker.reports)),
                 connections=(),
             )
             shards = frozenset(map(ShardId, worker.shards))
-            self._start_taking(worker_id, reply, shards)
+            self._enqueue(worker_id, reply, shards)
         return ttypes.Ack()
 
-    def _start_taking(
+    def _enqueue(
         self,
         worker_id: WorkerId,
         reply: LeaseReply,
         shards: frozenset[ShardId] | None,
     ) -> None:
-        queue = self._queues.setdefault(worker_id, deque(maxlen=_QUEUE_COUNT))
+        queue = self._queues.setdefault(
+            worker_id, deque(maxlen=_MAX_QUEUED_REPLIES_COUNT)
+        )
         queue.append((reply, shards))
         if self._nursery is not None and len(queue) == 1:
-            self._nursery.start_soon(self._take, worker_id, queue)
+            self._nursery.start_soon(self._process_queue, worker_id, queue)
 
-    async def _take(self, worker_id: WorkerId, queue: _Queue) -> None:
+    async def _process_queue(self, worker_id: WorkerId, queue: _Queue) -> None:
         while queue:
             reply, shards = queue[0]
             await self._runner.on_lease_reply(worker_id, reply, shards=shards)
@@ -144,26 +151,26 @@
                 queue.popleft()
         self._queues.pop(worker_id)
 
-    def _is_end(
+    def _is_unreported_end(
         self,
-        known: Mapping[TaskReport, Epoch],
+        passed_on: Mapping[TaskReport, Epoch],
         records: Mapping[ShardId, OwnerRecord],
         report: TaskReport,
     ) -> bool:
         """Tell whether a report is an end that its owner does not know."""
-        record = _record_of(records, report)
+        record = _find_record(records, report)
         if record is None or record.owner == self._entry_id:
             return False
-        is_passed_on = known.get(report) == record.epoch
+        is_passed_on = passed_on.get(report) == record.epoch
         return report.phase not in RUNNING_PHASES and not is_passed_on
 
     def _send_all(self, nursery: trio.Nursery) -> None:
         peers = self._peers()
         for owner, workers in tuple(self._unsent.items()):
             peer = peers.get(owner)
-            if peer is not None and workers and owner not in self._busy:
+            if peer is not None and workers and owner not in self._busy_owners:
                 self._unsent.pop(owner)
-                self._busy.add(owner)
+                self._busy_owners.add(owner)
                 nursery.start_soon(self._send, owner, peer, workers)
 
     async def _send(
@@ -177,50 +184,51 @@
             for shard, record in self._records().items()
             if record.owner == owner
         }
-        wanted = {
-            worker_id: self._wanted(worker_id, records) for worker_id in workers
+        reports_by_worker = {
+            worker_id: self._reports_for_owner(worker_id, records)
+            for worker_id in workers
         }
         message = ttypes.TaskReports(
             workers=[
                 ttypes.WorkerTasks(
                     worker_id=worker_id,
                     shards=list(records),
-                    reports=list(map(_message_of, reports)),
+                    reports=list(map(_encode_report, reports)),
                 )
-                for worker_id, reports in wanted.items()
+                for worker_id, reports in reports_by_worker.items()
             ],
         )
         try:
             await peer.call(message, timeout_s=PEER_TIMEOUT_S)
         except (PeerUnreachable, PeerRefused):
-            self._busy.discard(owner)
+            self._busy_owners.discard(owner)
             return
-        self._busy.discard(owner)
-        for sender, sent in wanted.items():
+        self._busy_owners.discard(owner)
+        for sender, sent in reports_by_worker.items():
             passed_on = self._passed_on.setdefault(sender, {})
             for report in sent:
-                record = _record_of(records, report)
+                record = _find_record(records, report)
                 if record is not None and report.phase not in RUNNING_PHASES:
                     passed_on[report] = record.epoch
 
-    def _wanted(
+    def _reports_for_owner(
         self,
         worker_id: WorkerId,
         records: Mapping[ShardId, OwnerRecord],
     ) -> list[TaskReport]:
-        known = self._passed_on.get(worker_id, {})
+        passed_on = self._passed_on.get(worker_id, {})
         return [
             report
             for report in self._latest[worker_id].tasks
-            if _record_of(records, report) is not None
+            if _find_record(records, report) is not None
             and (
                 report.phase in RUNNING_PHASES
-                or self._is_end(known, records, report)
+                or self._is_unreported_end(passed_on, records, report)
             )
         ]
 
 
-def _record_of(
+def _find_record(
     records: Mapping[ShardId, OwnerRecord],
     report: TaskReport,
 ) -> OwnerRecord | None:
@@ -228,7 +236,7 @@
     return None if shard is None else records.get(shard)
 
 
-def _message_of(report: TaskReport) -> Message:
+def _encode_report(report: TaskReport) -> Message:
     return ttypes.TaskReportMessage(
         task_id=report.task_id,
         shard_epoch=report.fence[0],
@@ -239,7 +247,7 @@
     )
 
 
-def _report_of(message: Message) -> TaskReport:
+def _decode_report(message: Message) -> TaskReport:
     return TaskReport(
         task_id=TaskId(message.task_id),
         fence=(message.shard_epoch, message.attempt),
--- a/src/marjoramwharf/programs/_web.py
+++ b/src/marjoramwharf/programs/_web.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class WebParts:
+class WebDependencies:
     """What the application's own routes show and control."""
 
     gate: DrainGate
@@ -34,17 +34,17 @@
     status: Callable[[], dict[str, Any]]
 
 
-def build_app(parts: WebParts, *blueprints: Blueprint) -> QuartTrio:
+def build_app(deps: WebDependencies, *blueprints: Blueprint) -> QuartTrio:
     """Build the application with the routes of all parts."""
     app = QuartTrio('marjoramwharf')
     app.config['MAX_CONTENT_LENGTH'] = _MAX_BODY_BYTES
-    app.register_blueprint(_own_blueprint(parts))
+    app.register_blueprint(_entry_blueprint(deps))
     for blueprint in blueprints:
         app.register_blueprint(blueprint)
     return app
 
 
-def _own_blueprint(parts: WebParts) -> Blueprint:
+def _entry_blueprint(deps: WebDependencies) -> Blueprint:
     blueprint = Blueprint('entry', __name__)
 
     @blueprint.get('/healthz')
@@ -53,34 +53,34 @@
 
     @blueprint.get('/readyz')
     async def is_ready() -> Response:
-        serving = parts.gate.state is DrainState.SERVING
-        ready = serving and parts.is_ready()
-        body = {'ready': ready, 'state': parts.gate.state.value}
+        serving = deps.gate.state is DrainState.SERVING
+        ready = serving and deps.is_ready()
+        body = {'ready': ready, 'state': deps.gate.state.value}
         return _json(body, status=200 if ready else 503)
 
     @blueprint.get('/metrics')
     async def show_metrics() -> Response:
-        parts.collect()
+        deps.collect()
         accepts = request.headers.getlist('Accept')
-        content, headers = render(parts.metrics.registry, accepts)
+        content, headers = render(deps.metrics.registry, accepts)
         return Response(content, headers=headers)
 
     @blueprint.get('/v1/status')
     async def show_status() -> Response:
-        return _refusal(parts) or _json(parts.status())
+        return _refuse_unless_operator(deps) or _json(deps.status())
 
     @blueprint.post('/v1/drain')
     async def drain() -> Response:
-        refused = _refusal(parts)
+        refused = _refuse_unless_operator(deps)
         if refused is None:
-            parts.gate.request_shutdown()
+            deps.gate.request_shutdown()
         return refused or _json({'draining': True}, status=202)
 
     return blueprint
 
 
-def _refusal(parts: WebParts) -> Response | None:
-    if parts.is_operator(request.headers.get('Authorization')):
+def _refuse_unless_operator(deps: WebDependencies) -> Response | None:
+    if deps.is_operator(request.headers.get('Authorization')):
         return None
     return not_run_response(
         Reason.UNAUTHORIZED,
--- a/src/marjoramwharf/programs/ctl.py
+++ b/src/marjoramwharf/programs/ctl.py
@@ -18,7 +18,7 @@
 from marjoramwharf.programs._client import (
     TOKEN_FILE_VARIABLE,
     TOKEN_VARIABLE,
-    Entries,
+    EntryClient,
     ExitCode,
     Reply,
     entry_urls,
@@ -30,7 +30,11 @@
     TokenFileOption,
     run_command,
 )
-from marjoramwharf.programs._ctl_notes import Note, Refused, worst_code
+from marjoramwharf.programs._ctl_notes import (
+    Note,
+    EntryRefused,
+    worst_exit_code,
+)
 from marjoramwharf.programs._output import (
     print_refusal,
     print_reply,
@@ -65,11 +69,11 @@
 class Drain:
     """Let one entry finish its requests and hand over its shards."""
 
-    def run(self, entries: Entries, *, as_json: bool) -> ExitCode:
+    def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
         """Ask exactly one entry to drain."""
-        if len(entries.urls) != 1:
+        if len(client.urls) != 1:
             raise BadSettings(message='drain needs exactly one --entry URL')
-        reply = entries.ask(entries.urls[0], 'POST', '/v1/drain')
+        reply = client.send_to(client.urls[0], 'POST', '/v1/drain')
         return print_reply(
             reply,
             f'{reply.entry}: draining; it stops when "readyz" answers 503 '
@@ -83,15 +87,15 @@
 class Status:
     """Show the state of each entry."""
 
-    def run(self, entries: Entries, *, as_json: bool) -> ExitCode:
+    def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
         """Print a row for each entry."""
-        found = entries.ask_all('GET', '/v1/status')
+        found = client.send_to_all('GET', '/v1/status')
         rows = [
             _status_row(url, answer, as_json=as_json)
-            for url, answer in zip(entries.urls, found, strict=True)
+            for url, answer in zip(client.urls, found, strict=True)
         ]
         print_rows(rows, as_json=as_json)
-        return worst_code(found)
+        return worst_exit_code(found)
 
 
 @cappa.command(name='doctor')
@@ -99,18 +103,18 @@
 class Doctor:
     """Say what is wrong with the entries and what to do."""
 
-    def run(self, entries: Entries, *, as_json: bool) -> ExitCode:
+    def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
         """Print the findings; refused (1) if there are any."""
-        ready = entries.ask_all('GET', '/readyz')
-        notes = entries.ask_all('GET', '/v1/notes/current')
+        ready = client.send_to_all('GET', '/readyz')
+        notes = client.send_to_all('GET', '/v1/notes/current')
         rows = [
-            *_ready_findings(entries.urls, ready),
-            *_note_findings(entries.urls, notes),
+            *_ready_findings(client.urls, ready),
+            *_note_findings(client.urls, notes),
         ]
         if rows or as_json:
             print_rows(rows, as_json=as_json)
         else:
-            sys.stdout.write(f'{len(entries.urls)} entries, nothing wrong\n')
+            sys.stdout.write(f'{len(client.urls)} entries, nothing wrong\n')
         if any(isinstance(answer, EntryUnreachable) for answer in ready):
             return ExitCode.UNREACHABLE
         return ExitCode.REFUSED if rows else ExitCode.DONE
@@ -121,7 +125,7 @@
 class SettingsReference:
     """Print all settings with type, range and default as Markdown."""
 
-    def run(self, entries: Entries, *, as_json: bool) -> ExitCode:
+    def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
         """Print the reference; no entry is asked."""
         sys.stdout.write(settings_reference())
         return ExitCode.DONE
@@ -160,14 +164,14 @@
 
 
 def _run(options: Ctl, transport: httpx.BaseTransport | None) -> ExitCode:
-    entries = Entries(
+    client = EntryClient(
         entry_urls(options.entry),
         headers=operator_headers(options.token_file),
         transport=transport,
     )
     try:
-        return options.command.run(entries, as_json=options.as_json)
-    except Refused as refusal:
+        return options.command.run(client, as_json=options.as_json)
+    except EntryRefused as refusal:
         print_refusal(refusal.reply)
         return refusal.reply.exit_code
 
--- a/src/marjoramwharf/programs/entry.py
+++ b/src/marjoramwharf/programs/entry.py
@@ -42,16 +42,19 @@
 from marjoramwharf.machines.agent_pool import AgentPool
 from marjoramwharf.machines.worker_table import WorkerTable
 from marjoramwharf.metrics import Metrics
-from marjoramwharf.programs._batch_path import BatchPath, BatchPathParts
-from marjoramwharf.programs._gauges import GaugeParts, Gauges
+from marjoramwharf.programs._batch_path import BatchPath, BatchPathDependencies
+from marjoramwharf.programs._gauges import GaugeDependencies, Gauges
 from marjoramwharf.programs._job_shards import PREFIX as JOB_PREFIX
 from marjoramwharf.programs._platform import (
-    ListFollower,
-    ShardFollower,
-    known_incarnations,
+    DirectoryPoller,
+    CapacityShards,
+    incarnation_lookup,
 )
-from marjoramwharf.programs._service_path import ServicePath, ServicePathParts
-from marjoramwharf.programs._web import WebParts, build_app
+from marjoramwharf.programs._service_path import (
+    ServicePath,
+    ServicePathDependencies,
+)
+from marjoramwharf.programs._web import WebDependencies, build_app
 from marjoramwharf.service.drain import DrainGate
 from marjoramwharf.service.http_api import (
     ServiceDependencies,
@@ -102,11 +105,11 @@
         self._make_service()
         self._make_batch()
         self.gauges = Gauges(
-            GaugeParts(
+            GaugeDependencies(
                 store=self.store,
                 capacity_manager=self.capacity_manager,
                 ownership=self.ownership,
-                path=self.path,
+                service_path=self.service_path,
                 notes=self.notes,
                 gate=self.gate,
             ),
@@ -117,7 +120,7 @@
         """Return the HTTP application with all routes."""
         is_operator = bearer_check(self.settings.operator_token)
         return build_app(
-            WebParts(
+            WebDependencies(
                 gate=self.gate,
                 metrics=self.metrics,
                 collect=self.gauges.collect,
@@ -128,16 +131,16 @@
             note_blueprint(self.notes, is_operator),
             service_blueprint(
                 ServiceDependencies(
-                    serve=self.path.serve,
-                    look_up=self.path.look_up,
-                    services=lambda: self.path.services,
+                    serve=self.service_path.serve,
+                    look_up=self.service_path.look_up,
+                    services=lambda: self.service_path.services,
                     clock=trio.current_time,
                     gate=self.gate,
                     metrics=self.metrics,
                     settings=self.settings.service,
                 ),
             ),
-            self.batch.blueprint(),
+            self.batch_path.blueprint(),
         )
 
     def is_ready(self) -> bool:
@@ -155,8 +158,8 @@
             'owned_workers': len(self.capacity_manager.allocator.ledgers),
             'known_workers': len(self.worker_table.known()),
             'in_flight': self.gate.in_flight_count,
-            'waiting': self.path.waiting_count(),
-            'in_doubt': self.path.settlement.in_doubt_count,
+            'waiting': self.service_path.waiting_count(),
+            'in_doubt': self.service_path.settlement.in_doubt_count,
         }
 
     def _make_links(self) -> None:
@@ -184,7 +187,9 @@
 
     def _make_capacity(self) -> None:
         settings = self.settings
-        self.ownership = _ownership(self.store, self, '/own/capacity')
+        self.ownership = _build_capacity_ownership(
+            self.store, self, '/own/capacity'
+        )
         self.capacity_manager = CapacityManager(
             self.identity,
             settings.capacity,
@@ -195,7 +200,7 @@
             rng=self.rng,
         )
         self.capacity_manager.borrower.close_connections = self.agents.close
-        self.shards = ShardFollower(
+        self.capacity_shards = CapacityShards(
             ownership=self.ownership,
             view=self.members,
             worker_table=self.worker_table,
@@ -211,8 +216,8 @@
             entry=settings.identity,
             now_ms=lambda: int(time.time() * _MS_PER_S),
         )
-        self.path = ServicePath(
-            ServicePathParts(
+        self.service_path = ServicePath(
+            ServicePathDependencies(
                 settings=settings.service,
                 topology=build_topology(settings.topology),
                 home=settings.home,
@@ -229,13 +234,13 @@
                 clock=trio.current_time,
             ),
         )
-        self.notes.add_listener(self.path.put_in_force)
-        self.list_follower = ListFollower(
+        self.notes.add_listener(self.service_path.apply_configuration)
+        self.directory_poller = DirectoryPoller(
             client=self.directory,
             worker_table=self.worker_table,
             poll_s=settings.directory.poll_ms / _MS_PER_S,
-            on_change=self._workers_changed,
-            on_gone=self._instance_gone,
+            on_change=self._on_workers_changed,
+            on_removed=self._on_instance_removed,
         )
 
     def _make_batch(self) -> None:
@@ -245,13 +250,13 @@
             self.settings.batch.shard_count,
             entry_id=self.settings.identity,
             incarnation=self.identity.incarnation,
-            members=known_incarnations(self.members),
+            members=incarnation_lookup(self.members),
             candidates=lambda: frozenset(
                 member.entry_id for member in self.members.live()
             ),
         )
-        self.batch = BatchPath(
-            BatchPathParts(
+        self.batch_path = BatchPath(
+            BatchPathDependencies(
                 settings=self.settings,
                 store=self.store,
                 ownership=self.job_ownership,
@@ -266,15 +271,15 @@
                 clock=trio.current_time,
             ),
         )
-        self.notes.add_listener(self.batch.put_in_force)
+        self.notes.add_listener(self.batch_path.apply_configuration)
 
-    def _workers_changed(self) -> None:
-        self.path.workers_changed()
-        self.batch.workers_changed()
+    def _on_workers_changed(self) -> None:
+        self.service_path.on_workers_changed()
+        self.batch_path.on_workers_changed()
 
-    def _instance_gone(self, name: str) -> None:
-        self.path.settlement.forget(WorkerId(name))
-        self.batch.instance_gone(WorkerId(name))
+    def _on_instance_removed(self, name: str) -> None:
+        self.service_path.settlement.forget(WorkerId(name))
+        self.batch_path.on_instance_removed(WorkerId(name))
 
     def _services_of(self, worker_id: WorkerId) -> frozenset[str]:
         worker = self.worker_table.find(worker_id)
@@ -300,7 +305,7 @@
     """Start the tasks in the order in which they need each other."""
     listen = entry.settings.listen
     handlers = entry.capacity_manager.handlers()
-    entry.batch.add_handlers(handlers)
+    entry.batch_path.add_handlers(handlers)
     server = PeerServer(
         handlers,
         identity=entry.identity,
@@ -315,15 +320,15 @@
         ),
     )
     await nursery.start(entry.capacity_manager.run)
-    nursery.start_soon(entry.path.run)
+    nursery.start_soon(entry.service_path.run)
     nursery.start_soon(_serve_app, entry)
-    await nursery.start(entry.list_follower.run)
+    await nursery.start(entry.directory_poller.run)
     await nursery.start(entry.notes.run)
     await nursery.start(entry.registration.run)
     await nursery.start(entry.members.run)
     nursery.start_soon(entry.peers.run)
-    nursery.start_soon(entry.shards.run)
-    nursery.start_soon(entry.batch.run)
+    nursery.start_soon(entry.capacity_shards.run)
+    nursery.start_soon(entry.batch_path.run)
     _log.info('started', entry=entry.settings.entry_id)
 
 
@@ -332,14 +337,14 @@
     _log.info('draining', in_flight=entry.gate.in_flight_count)
     entry.registration.leave()
     with trio.move_on_after(_JOBS_GRACE_S):
-        await entry.batch.shards.hand_over_all()
+        await entry.batch_path.shards.hand_over_all()
     is_empty = await entry.gate.drain(
         grace_s=_BALANCER_LAG_S,
         timeout_s=entry.settings.shutdown.drain_timeout_s,
     )
     with trio.move_on_after(_HTTP_GRACE_S):
         await entry.capacity_manager.stop()
-        await entry.shards.hand_over_all()
+        await entry.capacity_shards.hand_over_all()
         await entry.registration.withdraw()
     _log.info('stopped', is_empty=is_empty)
 
@@ -360,14 +365,16 @@
         gate.request_shutdown()
 
 
-def _ownership(store: Store, entry: Entry, prefix: str) -> Ownership:
+def _build_capacity_ownership(
+    store: Store, entry: Entry, prefix: str
+) -> Ownership:
     return Ownership(
         store,
         prefix,
         entry.settings.capacity.shard_count,
         entry_id=entry.settings.identity,
         incarnation=entry.identity.incarnation,
-        members=known_incarnations(entry.members),
+        members=incarnation_lookup(entry.members),
     )
 
 
--- a/src/marjoramwharf/programs/explain.py
+++ b/src/marjoramwharf/programs/explain.py
@@ -60,39 +60,41 @@
 
 
 @dataclass
-class Story:
+class JobTimeline:
     """The lines of one job."""
 
     lines: list[LogLine] = field(default_factory=list)
     unreadable_count: int = 0
 
 
-def find_story(job_id: str, sources: Mapping[str, Iterable[str]]) -> Story:
+def build_timeline(
+    job_id: str, sources: Mapping[str, Iterable[str]]
+) -> JobTimeline:
     """Return the lines of a job, with what happened around them."""
-    story = Story()
-    found = sorted(
-        _read(sources, story),
+    timeline = JobTimeline()
+    all_lines = sorted(
+        _parse_lines(sources, timeline),
         key=lambda line: (line.time, line.source),
     )
-    named = [line for line in found if _names(line, job_id)]
-    if not named:
-        return story
+    job_lines = [line for line in all_lines if _names_job(line, job_id)]
+    if not job_lines:
+        return timeline
     workers = {
         str(worker)
-        for line in named
+        for line in job_lines
         for worker in (
             line.fields.get('worker'),
             *line.fields.get('workers', ()),
         )
     }
-    first, last = named[0].time, named[-1].time
-    story.lines = [
+    first, last = job_lines[0].time, job_lines[-1].time
+    timeline.lines = [
         line
-        for line in found
-        if _names(line, job_id)
+        for line in all_lines
+        if _names_job(line, job_id)
         or (first <= line.time <= last and _is_context(line, workers))
     ]
-    return story
+    return timeline
 
 
 def describe(line: LogLine) -> str:
@@ -105,9 +107,9 @@
     return f'{line.time} {line.source}: {line.event} {details}'
 
 
-def _read(
+def _parse_lines(
     sources: Mapping[str, Iterable[str]],
-    story: Story,
+    timeline: JobTimeline,
 ) -> Iterator[LogLine]:
     for source, lines in sources.items():
         for text in lines:
@@ -115,12 +117,12 @@
             try:
                 fields = decode_json(text[max(0, start) :], dict[str, Any])
             except DecodeError:
-                story.unreadable_count += bool(text.strip())
+                timeline.unreadable_count += bool(text.strip())
                 continue
             yield LogLine(source, fields)
 
 
-def _names(line: LogLine, job_id: str) -> bool:
+def _names_job(line: LogLine, job_id: str) -> bool:
     job = str(line.fields.get('job', ''))
     task = str(line.fields.get('task', ''))
     return job == job_id or task.partition('.')[0] == job_id
@@ -149,12 +151,14 @@
     def run(self) -> int:
         """Print the lines; 1 if the job is not named in any."""
         sources = self._sources()
-        story = find_story(self.job_id, sources)
-        for line in story.lines:
+        timeline = build_timeline(self.job_id, sources)
+        for line in timeline.lines:
             sys.stdout.write(f'{describe(line)}\n')
-        if story.unreadable_count:
-            sys.stderr.write(f'{story.unreadable_count} lines not readable\n')
-        return 0 if story.lines else 1
+        if timeline.unreadable_count:
+            sys.stderr.write(
+                f'{timeline.unreadable_count} lines not readable\n'
+            )
+        return 0 if timeline.lines else 1
 
     def _sources(self) -> Mapping[str, Iterable[str]]:
         if not self.files:
--- a/src/marjoramwharf/programs/job.py
+++ b/src/marjoramwharf/programs/job.py
@@ -20,7 +20,7 @@
 from marjoramwharf.errors import EntryUnreachable
 from marjoramwharf.ids import random_id
 from marjoramwharf.programs._client import (
-    Entries,
+    EntryClient,
     ExitCode,
     Reply,
     entry_urls,
@@ -44,12 +44,12 @@
 TEAM_VARIABLE = 'MARJORAMWHARF_TEAM'
 
 # An entry holds a waiting call for at most this long.
-_WAIT_S = 10
+_MAX_WAIT_S = 10
 
 _RETRY_S = 1
 
 # An impossible job waits for larger workers; nobody else waits for those.
-_ENDED = frozenset(('done', 'failed', 'cancelled', 'impossible'))
+_FINAL_STATES = frozenset(('done', 'failed', 'cancelled', 'impossible'))
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,11 +75,11 @@
         ),
     ] = field(default_factory=random_id)
 
-    def run(self, entries: Entries, _clock: Clock, *, as_json: bool) -> int:
+    def run(self, client: EntryClient, _clock: Clock, *, as_json: bool) -> int:
         """Print the id of the job."""
         body = read_object(self.file)
         try:
-            reply = entries.ask_any(
+            reply = client.send_to_any(
                 'POST',
                 '/v1/jobs',
                 is_repeatable=False,
@@ -106,9 +106,9 @@
 
     job_id: str
 
-    def run(self, entries: Entries, _clock: Clock, *, as_json: bool) -> int:
+    def run(self, client: EntryClient, _clock: Clock, *, as_json: bool) -> int:
         """Print the state."""
-        return _print_job(_read(entries, self.job_id, 0), as_json=as_json)
+        return _print_job(_fetch_job(client, self.job_id, 0), as_json=as_json)
 
 
 @cappa.command(name='wait')
@@ -119,24 +119,24 @@
     job_id: str
     timeout_s: Annotated[float, cappa.Arg(long=True)] = 3600
 
-    def run(self, entries: Entries, clock: Clock, *, as_json: bool) -> int:
+    def run(self, client: EntryClient, clock: Clock, *, as_json: bool) -> int:
         """Print the final state; unknown (4) after the timeout."""
         deadline_s = clock.now_s() + self.timeout_s
         while True:
-            left_s = max(deadline_s - clock.now_s(), 0)
-            reply = self._poll(entries, min(left_s, _WAIT_S))
+            remaining_s = max(deadline_s - clock.now_s(), 0)
+            reply = self._poll(client, min(remaining_s, _MAX_WAIT_S))
             if reply is not None:
                 return _final_code(reply, as_json=as_json)
             if clock.now_s() >= deadline_s:
                 print_error(f'not ended after {self.timeout_s} s')
                 return ExitCode.UNKNOWN
-            # Entries may answer a waiting call early.
+            # EntryClient may answer a waiting call early.
             clock.sleep(_RETRY_S)
 
-    def _poll(self, entries: Entries, wait_s: float) -> Reply | None:
+    def _poll(self, client: EntryClient, wait_s: float) -> Reply | None:
         # All entries may be replaced while a job runs.
         try:
-            reply = _read(entries, self.job_id, wait_s)
+            reply = _fetch_job(client, self.job_id, wait_s)
         except EntryUnreachable as failure:
             print_error(failure.message)
             return None
@@ -150,10 +150,10 @@
 
     job_id: str
 
-    def run(self, entries: Entries, _clock: Clock, *, as_json: bool) -> int:
+    def run(self, client: EntryClient, _clock: Clock, *, as_json: bool) -> int:
         """Print the state."""
-        path = f'{_path(self.job_id)}/cancel'
-        return _print_job(entries.ask_any('POST', path), as_json=as_json)
+        path = f'{_job_path(self.job_id)}/cancel'
+        return _print_job(client.send_to_any('POST', path), as_json=as_json)
 
 
 @cappa.command(name='list')
@@ -167,14 +167,14 @@
     ] = ''
     limit: Annotated[int, cappa.Arg(long=True)] = 100
 
-    def run(self, entries: Entries, _clock: Clock, *, as_json: bool) -> int:
+    def run(self, client: EntryClient, _clock: Clock, *, as_json: bool) -> int:
         """Print a row for each job; unknown (4) if some did not answer."""
         query = {'limit': str(self.limit)}
-        if entries.team:
-            query['team'] = entries.team
+        if client.team:
+            query['team'] = client.team
         if self.state:
             query['state'] = self.state
-        reply = entries.ask_any('GET', '/v1/jobs', params=query)
+        reply = client.send_to_any('GET', '/v1/jobs', params=query)
         if reply.exit_code is not ExitCode.DONE:
             return print_reply(reply, '', as_json=as_json)
         print_rows(reply.body.get('jobs', []), as_json=as_json)
@@ -235,21 +235,21 @@
     headers = operator_headers(options.token_file)
     if options.team:
         headers['X-Team'] = options.team
-    entries = Entries(
+    client = EntryClient(
         entry_urls(options.entry),
         headers=headers,
         transport=transport,
     )
-    return options.command.run(entries, clock, as_json=options.as_json)
+    return options.command.run(client, clock, as_json=options.as_json)
 
 
-def _path(job_id: str) -> str:
+def _job_path(job_id: str) -> str:
     return '/v1/jobs/{0}'.format(quote(job_id, safe=''))
 
 
-def _read(entries: Entries, job_id: str, wait_s: float) -> Reply:
-    path = _path(job_id)
-    return entries.ask_any('GET', f'{path}?wait_s={wait_s:.1f}')
+def _fetch_job(client: EntryClient, job_id: str, wait_s: float) -> Reply:
+    path = _job_path(job_id)
+    return client.send_to_any('GET', f'{path}?wait_s={wait_s:.1f}')
 
 
 def _is_final(reply: Reply) -> bool:
@@ -257,7 +257,7 @@
     if reply.status in {429, 503}:
         return False
     is_refused = reply.exit_code is not ExitCode.DONE
-    return is_refused or reply.body.get('state') in _ENDED
+    return is_refused or reply.body.get('state') in _FINAL_STATES
 
 
 def _final_code(reply: Reply, *, as_json: bool) -> ExitCode:
--- a/src/marjoramwharf/programs/platform_entry.py
+++ b/src/marjoramwharf/programs/platform_entry.py
@@ -97,7 +97,7 @@
 _STOP_MARGIN_S = 1.0
 
 
-def _client() -> LeanClient:
+def _build_client() -> LeanClient:
     return LeanClient(connect_timeout_s=_CONNECT_TIMEOUT_S)
 
 
@@ -105,9 +105,9 @@
 class Entry:
     """The parts of the process, wired."""
 
-    place: InstanceSettings
+    settings: InstanceSettings
     secret: str = field(default_factory=random_id)
-    client: LeanClient = field(default_factory=_client)
+    client: LeanClient = field(default_factory=_build_client)
     view: OwnerView = field(default_factory=OwnerView)
     config: ConfigCache = field(
         default_factory=partial(
@@ -123,29 +123,29 @@
     store: RelayedStore = field(init=False)
     relay: StoreRelay = field(init=False)
     directory: EntryDirectory = field(init=False)
-    front: HttpServer = field(init=False)
+    api_server: HttpServer = field(init=False)
     campaign: Campaign = field(init=False)
     owner_link: OwnerLink = field(init=False)
 
     def __post_init__(self) -> None:
         """Wire the parts."""
-        place = self.place
+        settings = self.settings
         record = EntryRecord(
-            entry_id=place.entry_id,
-            host=place.host,
-            port=place.peer_ports[0],
+            entry_id=settings.entry_id,
+            host=settings.host,
+            port=settings.peer_ports[0],
             secret=self.secret,
         )
-        reach = StoreReach()
+        reachability = StoreReach()
         self.relay = StoreRelay(
             lambda: self.directory.peers,
             self.identity,
-            reach,
+            reachability,
         )
         self.store = RelayedStore(
             self._direct_store(self.client, _STORE_TIMEOUT_S),
             self.relay,
-            reach,
+            reachability,
         )
         self.directory = EntryDirectory(self.store, record)
         self.owner_link = OwnerLink(
@@ -157,16 +157,16 @@
         )
         self.campaign = Campaign(
             store=RelayedStore(
-                self._direct_store(_client(), _RENEWAL_TIMEOUT_S),
+                self._direct_store(_build_client(), _RENEWAL_TIMEOUT_S),
                 self.relay,
-                reach,
+                reachability,
                 self.store.relay_reach,
             ),
             view=self.view,
             cell=_CELL,
             record=record,
-            ttl_ms=max(_OWNER_TTL_MS, place.store_limits.min_ttl_ms),
-            cpu_share=place.cpu_share,
+            ttl_ms=max(_OWNER_TTL_MS, settings.store_limits.min_ttl_ms),
+            cpu_share=settings.cpu_share,
             run_cell=self.run_cell,
         )
         intake = Intake(
@@ -178,15 +178,15 @@
             self.counters,
         )
         handler = Front(intake, lambda: self.config.current)
-        self.front = HttpServer(handler.handle)
+        self.api_server = HttpServer(handler.handle)
 
     @property
     def identity(self) -> PeerIdentity:
         """How this process names itself to peers."""
         return PeerIdentity(
-            entry_id=self.place.entry_id,
+            entry_id=self.settings.entry_id,
             incarnation=Incarnation(self.secret[:8]),
-            data_centre=self.place.data_centre,
+            data_centre=self.settings.data_centre,
         )
 
     def owned_cell(self) -> Cell | None:
@@ -203,16 +203,16 @@
 
     async def run(self) -> None:
         """Serve until SIGTERM."""
-        place = self.place
+        settings = self.settings
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
-                self._follow,
+                self._watch,
                 _CONFIG_PREFIX,
                 self.config.apply,
                 _CONFIG_WAIT_MS,
             )
             nursery.start_soon(
-                self._follow,
+                self._watch,
                 OWNERS_PREFIX,
                 self.view.apply,
                 _OWNERS_WAIT_MS,
@@ -226,13 +226,13 @@
             nursery.start_soon(self.campaign.run)
             _LOG.info(
                 'started',
-                entry=place.entry_id,
-                data_centre=place.data_centre,
-                cpu_share=place.cpu_share,
+                entry=settings.entry_id,
+                data_centre=settings.data_centre,
+                cpu_share=settings.cpu_share,
             )
             await self._wait_for_stop()
             nursery.cancel_scope.cancel()
-        _LOG.info('stopped', entry=place.entry_id)
+        _LOG.info('stopped', entry=settings.entry_id)
 
     async def run_cell(self, tenure: Tenure) -> None:
         """Own the cell until the tenure ends."""
@@ -252,10 +252,10 @@
                 configuration=lambda: self.config.current,
                 workers_prefix=WORKERS_PREFIX,
                 decode_listing=decode_listing,
-                bounds=self.place.bounds,
-                hold_ms=round(self.place.bounds.max_hold_ms * _HOLD_SHARE),
+                bounds=self.settings.bounds,
+                hold_ms=round(self.settings.bounds.max_hold_ms * _HOLD_SHARE),
                 counters=self.counters,
-                advice_client=self._advice(),
+                advice_client=self._build_advice_client(),
             ),
         )
         self.cell = cell
@@ -279,23 +279,23 @@
         return await answer_job_call(self.owned_cell, sender, call)
 
     def _direct_store(self, client: LeanClient, timeout_s: float) -> KvStore:
-        return KvStore(client, self.place.store_address, timeout_s=timeout_s)
+        return KvStore(client, self.settings.store_address, timeout_s=timeout_s)
 
-    def _advice(self) -> PlatformAdviceCalls | None:
-        address = self.place.advice_address
+    def _build_advice_client(self) -> PlatformAdviceCalls | None:
+        address = self.settings.advice_address
         return PlatformAdviceCalls(self.client, address) if address else None
 
-    async def _follow(self, prefix: str, apply: Apply, wait_ms: int) -> None:
+    async def _watch(self, prefix: str, apply: Apply, wait_ms: int) -> None:
         await Follower(self.store, prefix, apply, wait_ms).run()
 
     async def _listen(self, nursery: trio.Nursery) -> None:
-        place = self.place
-        if place.front is not None:
-            listener = await open_listener(*place.front)
-            nursery.start_soon(self.front.serve, listener)
-        if place.ready is not None:
+        settings = self.settings
+        if settings.front is not None:
+            listener = await open_listener(*settings.front)
+            nursery.start_soon(self.api_server.serve, listener)
+        if settings.ready is not None:
             ready = HttpServer(partial(answer_ready, self.is_ready))
-            listener = await open_listener(*place.ready)
+            listener = await open_listener(*settings.ready)
             nursery.start_soon(ready.serve, listener)
         await self._listen_for_metrics(nursery)
         peers = PeerServer(
@@ -303,7 +303,7 @@
             identity=self.identity,
             secret=self.secret,
         )
-        listener = await open_listener(place.host, place.peer_ports[0])
+        listener = await open_listener(settings.host, settings.peer_ports[0])
         nursery.start_soon(_serve_peers, peers, listener)
 
     async def _listen_for_metrics(self, nursery: trio.Nursery) -> None:
@@ -314,7 +314,7 @@
             self.owned_cell,
         )
         try:
-            listener = await open_listener(self.place.host, METRICS_PORT)
+            listener = await open_listener(self.settings.host, METRICS_PORT)
         except OSError as failure:
             _LOG.warning('no metrics', error=str(failure))
             return
@@ -335,17 +335,17 @@
 
     async def _stop(self) -> None:
         """Hand over, answer what is under way, then end."""
-        _LOG.info('stopping', entry=self.place.entry_id)
+        _LOG.info('stopping', entry=self.settings.entry_id)
         self.is_stopping = True
-        grace_s = self.place.bounds.grace_ms / _MS_PER_S - _STOP_MARGIN_S
+        grace_s = self.settings.bounds.grace_ms / _MS_PER_S - _STOP_MARGIN_S
         deadline_s = trio.current_time() + grace_s
         with trio.move_on_after(grace_s / 4):
             if self.cell is not None:
                 await self.cell.hand_over()
         await self.campaign.withdraw()
         await trio.sleep(min(_READINESS_GAP_S, grace_s / 2))
-        self.front.drain()
-        while self.front.busy_count and trio.current_time() < deadline_s:
+        self.api_server.drain()
+        while self.api_server.busy_count and trio.current_time() < deadline_s:
             await trio.sleep(0.02)
 
 
@@ -371,11 +371,11 @@
     output = BoundedOutput(sys.stdout.fileno())
     configure_logs(as_json=True, output=output)
     try:
-        place = boot.load_place(boot.settings_path())
+        settings = boot.load_place(boot.settings_path())
     except BadSettings as failure:
         _LOG.error('settings refused', error=str(failure))
         sys.exit(2)
-    trio.run(Entry(place, output=output).run)
+    trio.run(Entry(settings, output=output).run)
 
 
 if __name__ == '__main__':
--- a/tests/programs/test_explain.py
+++ b/tests/programs/test_explain.py
@@ -5,7 +5,7 @@
 import json
 import unittest
 
-from marjoramwharf.programs.explain import describe, find_story
+from marjoramwharf.programs.explain import describe, build_timeline
 
 _JOB = '5c0e7a21d94b36f8'
 
@@ -35,8 +35,8 @@
             _line(5, 'cell: run ended', task=f'{_JOB}.0.0.1', how='vanished'),
             _line(20, 'worker: worker reached', worker='w1'),
         ]
-        story = find_story(_JOB, {'e1': first, 'e2': second})
-        events = [line.event for line in story.lines]
+        timeline = build_timeline(_JOB, {'e1': first, 'e2': second})
+        events = [line.event for line in timeline.lines]
         self.assertEqual(
             [
                 'intake: job accepted',
@@ -48,10 +48,10 @@
             ],
             events,
         )
-        self.assertEqual(1, story.unreadable_count)
-        self.assertIn('worker=w1', describe(story.lines[2]))
+        self.assertEqual(1, timeline.unreadable_count)
+        self.assertIn('worker=w1', describe(timeline.lines[2]))
 
     def test_unknown_job(self) -> None:
         """Guards against a story about nothing."""
-        story = find_story('none', {'e1': [_line(1, 'main: started')]})
-        self.assertFalse(story.lines)
+        timeline = build_timeline('none', {'e1': [_line(1, 'main: started')]})
+        self.assertFalse(timeline.lines)
--- a/tests/programs/test_task_placement.py
+++ b/tests/programs/test_task_placement.py
@@ -35,7 +35,10 @@
     TaskReport,
 )
 from marjoramwharf.machines.worker import Capacity, Worker
-from marjoramwharf.programs._task_placement import EntryCapacity, IndexedChoice
+from marjoramwharf.programs._task_placement import (
+    EntryCapacity,
+    IndexedWorkerSelector,
+)
 
 _HERE = EntryId('e1')
 _PEER = EntryId('e2')
@@ -83,9 +86,11 @@
             grant_ttl_s=3,
             connections_per_session=5,
         )
-        self.choice = IndexedChoice(lambda _worker: Demand(0, 0), seed=1)
+        self.choice = IndexedWorkerSelector(
+            lambda _worker: Demand(0, 0), seed=1
+        )
         self.allocator = CapacityAllocator(self.choice.choose)
-        self.allocator.on_released = self.choice.released
+        self.allocator.on_released = self.choice.on_released
         self.allocator.ledgers[_WORKER] = self.ledger
         self.peer = _Peer()
         self.capacity = EntryCapacity(
@@ -146,7 +151,7 @@
     def test_silent_peer_is_not_asked_again(self) -> None:
         """Guards against a storm of asks to a peer that does not answer."""
         news = ttypes.Summary(free_millicores=1_000_000)
-        self.capacity.summary_received(_PEER, news)
+        self.capacity.on_peer_summary(_PEER, news)
         self._reserve(_ask(1))
         for number in range(2, 5):
             self.assertIsInstance(self._reserve(_ask(number)), NoWorkerFound)
@@ -155,7 +160,7 @@
     def _reserve(self, ask: ReservationRequest) -> Any:
         async def reserve() -> Any:
             self._heartbeat()
-            self.capacity.count_own()
+            self.capacity.update_own_capacity()
             return await self.capacity.reserve(ask)
 
         return trio.run(reserve, clock=MockClock(autojump_threshold=0))
@@ -164,4 +169,4 @@
         reply = LeaseReply(Epoch(1), False, (), reports, ())
         beat = partial(self.ledger.record_fence, reply, 0)
         beat()
-        self.choice.follow(self.ledger)
+        self.choice.update_index(self.ledger)
