--- a/src/marjoramwharf/programs/__init__.py
+++ b/src/marjoramwharf/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The programs, with one composition root each."""
+"""The daemons and command line programs, each with its composition root."""
--- a/src/marjoramwharf/programs/_batch_path.py
+++ b/src/marjoramwharf/programs/_batch_path.py
@@ -1,4 +1,4 @@
-"""Builds the path of batch jobs."""
+"""Connects the components that serve batch jobs on an entry."""
 
 from __future__ import annotations
 
@@ -46,17 +46,17 @@
 from marjoramwharf.service.drain import DrainGate
 from marjoramwharf.settings import EntrySettings
 
-# A quota of this service bounds a team's batch tasks; its slots are
-# processors. Teams without one are not bounded.
+# The quota for this service name limits a team's batch tasks; each of its
+# slots is one processor. Teams without such a quota are not limited.
 _QUOTA_SERVICE = 'batch'
-_NO_QUOTA_MILLICORES = 1_000_000_000
+_UNLIMITED_MILLICORES = 1_000_000_000
 _MILLICORES = 1_000
 _MS_PER_S = 1_000
 
 _CLEANUP_INTERVAL_S = 60.0
 _CHECK_INTERVAL_S = 1.0
-# Longer than a commit and a call to the worker, so that a start that is
-# merely slow is not refused.
+# Longer than a commit and a call to the worker take together, so that a start
+# that is merely slow is not stopped.
 _UNREPORTED_S = 10.0
 
 _log = part_logger('jobs')
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BatchPathDependencies:
-    """What the path is built from."""
+    """The components that the batch path connects."""
 
     settings: EntrySettings
     store: Store
@@ -81,16 +81,17 @@
 
 
 class BatchPath:
-    """Job shards, their runner and the reservations of one entry."""
+    """The job shards of one entry, their runner and their reservations."""
 
     def __init__(self, deps: BatchPathDependencies) -> None:
-        """Wire the parts; nothing runs yet."""
+        """Connect the components; nothing runs yet."""
         self._deps = deps
         self._shard_count = deps.settings.batch.shard_count
         self._quotas: dict[TeamId, int] = {}
         self._reserved_millicores: dict[str, int] = {}
         self._worker_sizes: frozenset[Demand] = frozenset()
-        # Instances that the list lost, and when that is believed.
+        # Instances that are missing from the list, and when they count as
+        # removed.
         self._removal_due_at_s: dict[WorkerId, float] = {}
         self._must_reconsider = False
         self._selector = IndexedWorkerSelector(
@@ -162,7 +163,7 @@
         )
 
     def add_handlers(self, handlers: dict[type, Handler]) -> None:
-        """Add the messages of jobs to the table of the peer server."""
+        """Add the handlers of job messages to those of the peer server."""
         base_handler = handlers[ttypes.Summary]
 
         async def handle_summary(
@@ -176,7 +177,7 @@
         handlers[ttypes.TaskReports] = self.report_relay.on_peer_reports
 
     def apply_configuration(self, active: ActiveConfiguration) -> None:
-        """Follow a change of the configuration."""
+        """Apply the quotas and reserved processors of a configuration."""
         quotas: dict[TeamId, int] = {}
         for quota in active.configuration.quotas:
             until_ms = quota.valid_until_ms
@@ -191,7 +192,7 @@
         self._update_worker_sizes()
 
     def on_workers_changed(self) -> None:
-        """Follow a change of the roster."""
+        """Update the worker sizes and the pending removals."""
         former = self._worker_sizes
         self._update_worker_sizes()
         if self._worker_sizes - former:
@@ -201,20 +202,21 @@
                 self._removal_due_at_s.pop(worker_id)
 
     def on_instance_removed(self, worker_id: WorkerId) -> None:
-        """Note that the list lost an instance.
+        """Schedule the removal of an instance that left the list.
 
         The list can be wrong or late. The worker's tasks end by themselves
-        one lease after its last heartbeat, so it counts as gone after that.
+        one lease after its last heartbeat, so the instance counts as removed
+        only after that time.
         """
         lease_s = self._deps.settings.capacity.worker_lease_ms / _MS_PER_S
         due_at_s = self._deps.clock() + lease_s
         self._removal_due_at_s.setdefault(worker_id, due_at_s)
 
     def _check_held_workers(self) -> None:
-        """Compare the workers of the placed tasks with the list.
+        """Schedule the removal of workers that have tasks but are unlisted.
 
-        A shard that was just taken may have tasks on instances that the list
-        lost before.
+        A job shard that was just taken over may have tasks on instances that
+        left the list before.
         """
         for worker_id in self.runner.held_workers():
             if self._deps.worker_table.find(worker_id) is None:
@@ -250,7 +252,7 @@
     def _get_quota(self, team: TeamId) -> int:
         quota = self._quotas.get(team)
         if quota is None:
-            return _NO_QUOTA_MILLICORES
+            return _UNLIMITED_MILLICORES
         return quota // self._shard_count
 
     def _get_reservation_size(self, size: TaskSpec) -> Demand:
@@ -279,7 +281,9 @@
                 try:
                     await owned.forget_expired_jobs(now_ms())
                 except Failure as failure:
-                    _log.info('not forgotten', reason=failure.reason.value)
+                    _log.info(
+                        'expired jobs not removed', reason=failure.reason.value
+                    )
 
     async def _run_checks(self) -> None:
         while True:
@@ -300,7 +304,10 @@
             try:
                 await owned.reconsider()
             except Failure as failure:
-                _log.info('not reconsidered', reason=failure.reason.value)
+                _log.info(
+                    'impossible jobs not reconsidered',
+                    reason=failure.reason.value,
+                )
                 return False
         return True
 
@@ -324,7 +331,7 @@
         worker_id: WorkerId,
         attempt: AttemptKey,
     ) -> None:
-        """Free a reservation after the worker has refused its attempt."""
+        """Release a reservation if stopping its attempt proves it never ran."""
         agent = self._get_agent(worker_id)
         if agent is None:
             return
--- a/src/marjoramwharf/programs/_cell_metrics.py
+++ b/src/marjoramwharf/programs/_cell_metrics.py
@@ -1,7 +1,8 @@
 """The metrics of an entry on the platform, in the text format of Prometheus.
 
-The library takes half a second of processor time to import, which an entry
-can't spare at its start; it is imported in a thread at the first request.
+Importing the metrics library takes half a second of processor time, which an
+entry can't spare at its start. So it is imported in a thread at the first
+request.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 @dataclass(slots=True)
 class CellMetrics:
-    """Answers requests for the metrics.
+    """Serves the metrics page.
 
     ``get_cell`` returns the cell that this entry owns, if any.
     """
@@ -49,7 +50,7 @@
         return HttpReply(200, text, content_type='text/plain; version=0.0.4')
 
     def _values(self) -> Mapping[str, Mapping[str, float]]:
-        """Return totals by metric and label; '' for a metric without one."""
+        """Return values by metric and label value ('' if it has no label)."""
         counters = self.counters
         return {
             'submissions_total': _count_by_value(counters.submissions),
@@ -97,10 +98,10 @@
 
 
 class _MetricsPage:
-    """The registry of the metrics library."""
+    """The metrics page, rendered by the metrics library."""
 
     def __init__(self) -> None:
-        """Import the library; slow, so it is done in a thread."""
+        """Import the library; slow, so call it in a thread."""
         from aioprometheus import collectors, formats
 
         self._collectors = collectors
@@ -113,7 +114,7 @@
         totals: Mapping[str, Mapping[str, float]],
         samples: Mapping[str, deque[float]],
     ) -> bytes:
-        """Return the page; samples are taken out of their queues."""
+        """Return the page; the samples are removed from their queues."""
         for name, by_label in totals.items():
             metric = self._metric(name, self._collectors.Gauge)
             for label, count in by_label.items():
--- a/src/marjoramwharf/programs/_check_settings.py
+++ b/src/marjoramwharf/programs/_check_settings.py
@@ -1,7 +1,7 @@
-"""The command line of the daemon on the platform: a check of its settings.
+"""The settings check of the daemon on the platform.
 
-It is imported only when there are arguments, since the daemon itself takes
-none and has to start fast.
+This module is imported only when there are command line arguments, since the
+daemon itself takes none and has to start fast.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 @cappa.command(name='marjoramwharf-platform-entry')
 @dataclass
 class Check:
-    """Read a settings file of the platform and say what it means."""
+    """Check a settings file of the platform and print what it configures."""
 
     check: Annotated[
         pathlib.Path,
@@ -28,12 +28,12 @@
     ]
 
     def run(self) -> int:
-        """Print the place that the file describes."""
-        place = boot.load_place(self.check)
+        """Print the identity, addresses and cores that the file sets."""
+        settings = boot.load_place(self.check)
         sys.stdout.write(
-            f'{place.entry_id} in {place.data_centre}: front {place.front}, '
-            f'peers {place.peer_ports}, store {place.store_address}, '
-            f'{place.cpu_share:.2f} cores\n',
+            f'{settings.entry_id} in {settings.data_centre}: front {settings.front}, '
+            f'peers {settings.peer_ports}, store {settings.store_address}, '
+            f'{settings.cpu_share:.2f} cores\n',
         )
         return 0
 
--- a/src/marjoramwharf/programs/_class_usage.py
+++ b/src/marjoramwharf/programs/_class_usage.py
@@ -19,18 +19,18 @@
     WorkerAgent,
 )
 
-# Bounds the calls, since every report costs the worker a moment.
+# Limits the calls, since every report costs the worker some time.
 _POLLS_PER_S = 4
 _MS_PER_S = 1_000
 _NO_DEMAND = Demand(0, 0)
 
 
 class ClassUsagePoller:
-    """Polls the owned workers in turns.
+    """Polls the usage of the owned workers in turn.
 
-    Only the attempts that were reserved at this desk count, since only their
-    declared sizes are known. A report is used for a class if all of the
-    worker's attempts are known and ran when the report was taken.
+    Only the declared sizes of attempts reserved in this entry's allocator are
+    available here. So a report is used only if all of the worker's attempts
+    were reserved here and were running when the report was taken.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         )
 
     async def run(self) -> None:
-        """Poll until cancelled."""
+        """Poll the workers until cancelled."""
         while True:
             for worker_id in tuple(self._allocator.ledgers):
                 await self._poll(worker_id)
@@ -74,7 +74,7 @@
         self.observe(ledger, report)
 
     def observe(self, ledger: WorkerLedger, report: UsageReport) -> None:
-        """Compare a report with the declared sizes of what runs."""
+        """Compare the reported usage of each class with its declared size."""
         now_s = self._clock()
         taken_at_s = now_s - report.age_ms / _MS_PER_S
         running = self._get_declared_sizes(ledger, taken_at_s)
@@ -90,7 +90,11 @@
         ledger: WorkerLedger,
         taken_at_s: float,
     ) -> dict[str, Demand] | None:
-        """Return the declared sizes by class, ``None`` if one is unknown."""
+        """Return the total declared size of each class.
+
+        Returns ``None`` if an attempt was not reserved here or had not been
+        reported running when the usage was measured.
+        """
         declared: dict[str, Demand] = {}
         for attempt in ledger.reservations.demands():
             request = self._allocator.request_of(attempt)
--- a/src/marjoramwharf/programs/_client.py
+++ b/src/marjoramwharf/programs/_client.py
@@ -26,24 +26,24 @@
 
 CONNECT_TIMEOUT_S = 3
 
-# An acceptance with all its rebases takes at most about 5 s.
+# Accepting a release note, with all its rebases, takes at most about 5 s.
 READ_TIMEOUT_S = 15
 
-_GATEWAY_ERRORS = frozenset(
+_GATEWAY_STATUSES = frozenset(
     (
         HTTPStatus.BAD_GATEWAY,
         HTTPStatus.SERVICE_UNAVAILABLE,
         HTTPStatus.GATEWAY_TIMEOUT,
     ),
 )
-_BAD_INPUT = frozenset(
+_BAD_INPUT_STATUSES = frozenset(
     (HTTPStatus.BAD_REQUEST, HTTPStatus.REQUEST_ENTITY_TOO_LARGE),
 )
 
 
 @enum.unique
 class ExitCode(enum.IntEnum):
-    """What a program reports to the shell."""
+    """The exit status of a command line program."""
 
     DONE = 0
     REFUSED = 1
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The answer of one entry; ``body`` is the decoded JSON object."""
+    """The response of one entry; ``body`` is the decoded JSON object."""
 
     entry: str
     status: int
@@ -62,24 +62,24 @@
 
     @property
     def exit_code(self) -> ExitCode:
-        """The exit code that stands for this answer."""
-        # A proxy that answers for an entry states no outcome.
-        default = 'unknown' if self.status in _GATEWAY_ERRORS else ''
+        """The exit code for this response."""
+        # A response from a proxy instead of an entry has no "outcome" field.
+        default = 'unknown' if self.status in _GATEWAY_STATUSES else ''
         if self.body.get('outcome', default) == 'unknown':
             return ExitCode.UNKNOWN
         if self.status < HTTPStatus.BAD_REQUEST:
             return ExitCode.DONE
-        if self.status in _BAD_INPUT:
+        if self.status in _BAD_INPUT_STATUSES:
             return ExitCode.BAD_INPUT
         return ExitCode.REFUSED
 
 
 class AnswerLost(EntryUnreachable):
-    """A request was sent and no complete answer came."""
+    """A request was sent, but no complete response arrived."""
 
 
 class EntryClient:
-    """The entries that a program may ask, in the given order."""
+    """HTTP client for a list of entries, which are tried in this order."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         headers: Mapping[str, str],
         transport: httpx.BaseTransport | None = None,
     ) -> None:
-        """Prepare a client; nothing is sent yet."""
+        """Prepare the HTTP client; nothing is sent yet."""
         self.urls = tuple(url.rstrip('/') for url in urls)
         self._client = httpx.Client(
             headers=dict(headers),
@@ -98,7 +98,7 @@
 
     @property
     def team(self) -> str:
-        """The team that the requests name, empty without one."""
+        """The team named in the requests, or an empty string."""
         return self._client.headers.get('X-Team', '')
 
     def send_to(
@@ -131,12 +131,13 @@
         is_repeatable: bool = True,
         **options: Any,
     ) -> Reply:
-        """Ask the entries in turn until one acts on the request.
+        """Send a request to the entries in turn until one acts on it.
 
-        The next entry is asked if one is unreachable or answers 503. A
-        request that isn't repeatable is not sent again after a lost answer
-        or a 503 that doesn't state "not run", as that of a load balancer.
-        Raises the worst failure when no entry answers.
+        The next entry is tried if one is unreachable or answers 503. A
+        request that isn't repeatable is not sent again after a lost response
+        or a 503 that doesn't state "not run", such as a load balancer's.
+        If none acts on it, raises ``AnswerLost`` when a response was lost,
+        else returns the worst refusal, or raises ``EntryUnreachable``.
         """
         self.require_entries()
         outcomes: list[Reply | EntryUnreachable] = []
@@ -152,14 +153,14 @@
         method: str,
         path: str,
     ) -> list[Reply | EntryUnreachable]:
-        """Ask every entry, and return a reply or a failure for each."""
+        """Send a request to every entry; return a reply or failure for each."""
         self.require_entries()
         return [
             self._send_or_failure(url, method, path, {}) for url in self.urls
         ]
 
     def require_entries(self) -> None:
-        """Raise ``BadSettings`` if no entry is named."""
+        """Raise ``BadSettings`` if there is no entry to send to."""
         if not self.urls:
             raise BadSettings(
                 message=(
@@ -181,7 +182,7 @@
 
 
 def exit_code_of(failure: Exception) -> ExitCode:
-    """Return the exit code that stands for a failure."""
+    """Return the exit code for a failure."""
     if isinstance(failure, AnswerLost):
         return ExitCode.UNKNOWN
     if isinstance(failure, EntryUnreachable):
@@ -190,7 +191,7 @@
 
 
 def entry_urls(urls: Sequence[str]) -> tuple[str, ...]:
-    """Return the named entries, or those of the environment variable."""
+    """Return the given URLs, or those of the environment variable."""
     if urls:
         return tuple(urls)
     listed = os.environ.get(ENTRIES_VARIABLE, '').split(',')
@@ -198,7 +199,7 @@
 
 
 def operator_headers(token_file: pathlib.Path | None) -> dict[str, str]:
-    """Return the header with the token; empty if there is no token.
+    """Return the header with the operator token; empty without a token.
 
     Raises ``BadSettings`` if the file can't be read.
     """
@@ -211,7 +212,7 @@
 
 
 def read_text(path: pathlib.Path) -> str:
-    """Read a file; raises ``BadSettings`` with its path."""
+    """Read a text file; raises ``BadSettings`` that names its path."""
     try:
         return path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as failure:
@@ -245,8 +246,8 @@
 
 
 def _select_outcome(outcomes: Sequence[Reply | EntryUnreachable]) -> Reply:
-    # A lost answer means that an entry may have acted; a later "not run" of
-    # another entry doesn't settle that, only a final answer does.
+    # After a lost response, an entry may have acted on the request. A later
+    # "not run" of another entry doesn't rule that out; a final response does.
     last = outcomes[-1]
     if isinstance(last, Reply) and not _may_try_next(last, is_repeatable=True):
         return last
--- a/src/marjoramwharf/programs/_command_line.py
+++ b/src/marjoramwharf/programs/_command_line.py
@@ -1,4 +1,4 @@
-"""What the command line programs share: options, errors and exit codes."""
+"""Options, error handling and exit codes of all command line programs."""
 
 from __future__ import annotations
 
--- a/src/marjoramwharf/programs/_ctl_notes.py
+++ b/src/marjoramwharf/programs/_ctl_notes.py
@@ -33,12 +33,12 @@
 @cappa.command(name='check')
 @dataclass
 class Check:
-    """Check a note, and that it fits what is in force if entries are named."""
+    """Check a note, also against the configuration in force if entries are named."""
 
     file: pathlib.Path
 
     def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
-        """Print what is wrong, or that nothing is."""
+        """Print that the note is valid; raises ``BadNote`` with its problems."""
         loaded = load_note(self.file)
         comparison = 'not compared with the configuration in force'
         if client.urls:
@@ -71,7 +71,7 @@
 @cappa.command(name='accept')
 @dataclass
 class Accept:
-    """Submit a note; a repeat of the same note has no further effect."""
+    """Submit a note; submitting the same note again has no effect."""
 
     file: pathlib.Path
     based_on: Annotated[
@@ -104,7 +104,7 @@
 @cappa.command(name='status')
 @dataclass
 class NoteStatus:
-    """Show which entry has which revision, and since when."""
+    """Show the revision in force on each entry, and since when."""
 
     def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
         """Print a row for each entry."""
@@ -178,10 +178,10 @@
 
 
 class EntryRefused(Exception):
-    """An entry refused to show what a command needs."""
+    """An entry refused a request that a command depends on."""
 
     def __init__(self, reply: Reply) -> None:
-        """Keep the reply, which is printed."""
+        """Store the reply, which the caller prints."""
         super().__init__(reply.status)
         self.reply = reply
 
@@ -190,7 +190,7 @@
     before: Configuration,
     after: Configuration,
 ) -> Iterator[dict[str, Any]]:
-    """Yield each field that differs, with both values."""
+    """Yield each field that differs, with its value before and after."""
     old = _flatten(before)
     new = _flatten(after)
     for name in sorted({*old, *new}):
@@ -200,7 +200,7 @@
 
 
 def worst_exit_code(found: list[Reply | EntryUnreachable]) -> ExitCode:
-    """Return the code for answers of several entries."""
+    """Return the highest exit code of the replies of several entries."""
     return max(
         ExitCode.UNREACHABLE
         if isinstance(answer, EntryUnreachable)
--- a/src/marjoramwharf/programs/_gauges.py
+++ b/src/marjoramwharf/programs/_gauges.py
@@ -1,7 +1,7 @@
-"""Metrics of an entry's parts, read from them at scrape time.
+"""Metrics of an entry, read from its components at scrape time.
 
-``docs/alerts.md`` says what operators do with them. Labels are members of an
-Enum or fixed words.
+``docs/alerts.md`` says what operators do with them. The values of labels are
+members of an Enum or fixed words.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from marjoramwharf.programs._service_path import ServicePath
 from marjoramwharf.service.drain import DrainGate
 
-# Values by the word of the metric's one label; '' for a metric without one.
+# Values by the value of the metric's one label; '' for a metric without one.
 _Values: TypeAlias = Mapping[str, float]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GaugeDependencies:
-    """The parts that are read."""
+    """The components whose state is exported."""
 
     store: GuardedStore
     capacity_manager: CapacityManager
@@ -38,10 +38,10 @@
 
 
 class Gauges:
-    """Registers the metrics and brings them up to date."""
+    """Registers the gauges and counters of an entry and updates them."""
 
     def __init__(self, deps: GaugeDependencies, registry: Registry) -> None:
-        """Register all metrics; ``collect`` gives them their values."""
+        """Register all metrics; ``collect`` sets their values."""
         self._deps = deps
         self._registry = registry
         self._collectors: list[Callable[[], None]] = []
@@ -50,7 +50,7 @@
         self._add_service()
 
     def collect(self) -> None:
-        """Read the parts; called before each scrape."""
+        """Set all metrics to their present values; called before each scrape."""
         for collect in self._collectors:
             collect()
 
--- a/src/marjoramwharf/programs/_job_router.py
+++ b/src/marjoramwharf/programs/_job_router.py
@@ -1,4 +1,4 @@
-"""Passes job calls to the owners of their shards."""
+"""Routes job calls to the owners of their shards."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from marjoramwharf.links.thrift_types.peer import ttypes
 from marjoramwharf.service.drain import DrainGate
 
-# A commit takes at most 5 s, then its outcome is reported as unknown.
+# A commit takes at most 5 s; after that, its outcome is reported as unknown.
 _CALL_TIMEOUT_S = 8.0
-# A peer serves 64 calls of one connection at once. Above this number of
-# waiting calls, further ones get the present state instead.
+# A peer serves 64 calls of one connection at once. When this many calls wait
+# for a state change, further ones return the present state at once.
 _MAX_WAITING_CALLS_COUNT = 24
 _RETRY_AFTER_S = 1.0
 
@@ -28,7 +28,7 @@
 
 
 class JobRouter:
-    """Serves job calls here or at the peer that the ownership record names."""
+    """Serves a job call here or at the peer that owns its shard."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         peers: Callable[[], Mapping[EntryId, PeerCaller]],
         gate: DrainGate,
     ) -> None:
-        """Keep the parts."""
+        """Store the collaborators; no call is served yet."""
         self._runner = runner
         self._owner_of = owner_of
         self._peers = peers
@@ -46,7 +46,7 @@
         self._waiting_count = 0
 
     async def route(self, shard: ShardId, method: str, body: bytes) -> Answer:
-        """Pass a job call to the owner of its shard."""
+        """Serve a job call here, or send it to the owner of its shard."""
         with self._gate.track_request():
             owned = self._runner.shard(shard)
             if owned is not None:
@@ -58,7 +58,7 @@
         _sender: PeerIdentity,
         call: Message,
     ) -> Message:
-        """Serve a call that a peer has passed on."""
+        """Serve a job call that a peer has forwarded."""
         owned = self._runner.shard(ShardId(call.shard))
         status, body = await answer_job_call(owned, call.body, now_ms())
         return ttypes.JobReply(status=status, body=body)
@@ -113,5 +113,5 @@
 
 
 def now_ms() -> int:
-    """Return Unix time."""
+    """Return the Unix time in milliseconds."""
     return int(time.time() * _MS_PER_S)
--- a/src/marjoramwharf/programs/_job_shards.py
+++ b/src/marjoramwharf/programs/_job_shards.py
@@ -1,4 +1,4 @@
-"""Takes job shards, serves them, and hands them over."""
+"""Acquires job shards, serves them, and hands them over."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 PREFIX = '/own/jobs'
 
-# Bounds how late a lost or free shard is noticed when no member changes.
+# Limits how late a lost or free shard is noticed when no member changes.
 _REFRESH_S = 1.0
 _RECOVER_PAUSE_S = 0.5
 _FLUSH_TIMEOUT_S = 3.0
@@ -39,8 +39,8 @@
 class JobShards:
     """The job shards that this entry owns and serves.
 
-    The record of an owned shard is never written again: its revision is the
-    guard of the journal.
+    The ownership record of an owned shard is not rewritten while it is served:
+    every write to the journal is conditional on the revision of the record.
     """
 
     def __init__(
@@ -63,14 +63,14 @@
         self._view = view
         self._served: dict[ShardId, _ServedShard] = {}
         self._lease_s = entry_lease_s
-        # After an outage, which may have ended just before the start, the
-        # entries register again one by one. Until then, a missing member does
-        # not show that it is dead.
+        # After an outage, which may have ended just before this start, the
+        # entries register again one by one. Until they had one lease of time
+        # for that, a missing member does not prove that it is dead.
         self._takeover_allowed_at_s: float = 0
         self._is_stopping = False
 
     async def run(self) -> None:
-        """Follow the members and the records until cancelled."""
+        """Serve the shards that this entry should own until cancelled."""
         self._takeover_allowed_at_s = trio.current_time() + self._lease_s
         async with trio.open_nursery() as nursery:
             while not self._is_stopping:
@@ -86,7 +86,7 @@
                     await self._view.wait_change()
 
     async def hand_over_all(self) -> None:
-        """Write what is queued and free all shards on a planned stop."""
+        """Flush the journals and release all shards on a planned stop."""
         self._is_stopping = True
         async with trio.open_nursery() as nursery:
             for shard in tuple(self._ownership.owned):
@@ -106,14 +106,14 @@
                 nursery.start_soon(self._serve, taken, started)
         if trio.current_time() < self._takeover_allowed_at_s:
             return
-        # One at a time, since a shard is without an owner for a moment.
+        # One at a time, since a shard has no owner during its handover.
         for moved in self._ownership.misplaced()[:1]:
             await self._hand_over(moved)
 
     async def _serve(self, shard: ShardId, served: _ServedShard) -> None:
         with served.scope:
             await self._recover_and_serve(shard, served.epoch)
-            # The journal met the record of another owner.
+            # A write of the journal was refused: another entry owns the shard.
             self._ownership.mark_lost(shard)
         if self._served.get(shard) is served:
             self._served.pop(shard)
--- a/src/marjoramwharf/programs/_output.py
+++ b/src/marjoramwharf/programs/_output.py
@@ -44,7 +44,10 @@
 
 
 def print_reply(reply: Reply, text: str, *, as_json: bool) -> ExitCode:
-    """Print the text for a done reply, or what the entry refused and why."""
+    """Print ``text`` for a successful reply, else the reason of the refusal.
+
+    As JSON, the body of the reply is printed in both cases.
+    """
     if as_json:
         print_json(reply.body)
     elif reply.exit_code is ExitCode.DONE:
@@ -85,7 +88,7 @@
 
 
 def utc_text(time_ms: int) -> str:
-    """Return a Unix time as text.
+    """Format a Unix time in milliseconds as UTC.
 
     >>> utc_text(0)
     '1970-01-01T00:00:00Z'
--- a/src/marjoramwharf/programs/_platform.py
+++ b/src/marjoramwharf/programs/_platform.py
@@ -1,4 +1,4 @@
-"""Tasks that follow the platform: the list, the members and the shards."""
+"""Background tasks that track the list of workers and the capacity shards."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from marjoramwharf.machines.worker_table import WorkerTable
 from marjoramwharf.settings import CapacitySettings
 
-# Bounds how late a lost or free shard is noticed when no member changes.
+# Limits how late a lost or free shard is noticed when no member changes.
 _REFRESH_S = 2
-# Balances the entries after a start without moving much at a time.
+# Balances the shards after an entry starts without moving many at a time.
 _MAX_MOVED_AT_ONCE_COUNT = 1
 
 _log = part_logger('platform')
@@ -28,7 +28,7 @@
 def incarnation_lookup(
     view: MemberView,
 ) -> Callable[[], Mapping[EntryId, Incarnation]]:
-    """Return a function that maps each known entry to its incarnation."""
+    """Return a function that returns the incarnations of all known entries."""
 
     def members() -> Mapping[EntryId, Incarnation]:
         return {member.entry_id: member.incarnation for member in view.known()}
@@ -38,7 +38,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DirectoryPoller:
-    """Polls the platform's list into the roster."""
+    """Polls the platform's list of workers into the worker table.
+
+    ``on_change`` is called after each poll, ``on_removed`` for each worker
+    that left the list.
+    """
 
     client: DirectoryClient
     worker_table: WorkerTable
@@ -51,7 +55,7 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Poll until cancelled; reports started after the first list."""
+        """Poll until cancelled; reports started after the first success."""
         is_started = False
         while True:
             if await self._poll() and not is_started:
@@ -63,7 +67,7 @@
         try:
             listing = await self.client.fetch()
         except (DirectoryUnavailable, BadListing) as failure:
-            _log.warning('list not read', cause=failure.message)
+            _log.warning('list of workers not read', cause=failure.message)
             return False
         change = self.worker_table.apply(listing)
         self.on_change()
@@ -74,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CapacityShards:
-    """Takes capacity shards and owns their workers."""
+    """Acquires capacity shards, owns their workers and hands shards over."""
 
     ownership: Ownership
     view: MemberView
@@ -84,7 +88,7 @@
     clock: Callable[[], float]
 
     async def run(self) -> None:
-        """Follow the members and the records until cancelled."""
+        """Own the shards that this entry should own until cancelled."""
         while True:
             await self.ownership.refresh()
             await self.assign()
@@ -108,7 +112,7 @@
             await self.ownership.advance_epoch(shard)
 
     async def hand_over_all(self) -> None:
-        """Free all shards on a planned stop."""
+        """Release all shards on a planned stop."""
         for shard in tuple(self.ownership.owned):
             await self.ownership.hand_over(shard)
 
--- a/src/marjoramwharf/programs/_service_path.py
+++ b/src/marjoramwharf/programs/_service_path.py
@@ -1,4 +1,4 @@
-"""Builds the path of a latency-critical request."""
+"""Connects the components that serve latency-critical requests."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 from marjoramwharf.zones.topology import Topology
 
 _LOOKUP_TIMEOUT_S = 2
-# Permits also come free at peers and by expiry, which nobody announces.
+# Permits are also freed at peers and by expiry, without any notification.
 _QUEUE_POLL_S = 0.02
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServicePathDependencies:
-    """What the path is built from."""
+    """The components that the service path connects."""
 
     settings: ServiceSettings
     topology: Topology
@@ -56,7 +56,7 @@
     """Queues, router and dispatcher of one entry."""
 
     def __init__(self, deps: ServicePathDependencies) -> None:
-        """Wire the parts; nothing runs yet."""
+        """Connect the components; nothing runs yet."""
         self._deps = deps
         self.services: frozenset[str] = frozenset()
         self._queues: dict[ServiceId, Admission] = {}
@@ -82,14 +82,14 @@
         deps.capacity_manager.on_refilled = self._on_refilled
 
     async def run(self) -> None:
-        """Settle calls in doubt and serve the queues until cancelled."""
+        """Settle calls with unknown outcome and serve the queues until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.settlement.run)
             nursery.start_soon(self._deps.claims.run)
             nursery.start_soon(self._poll_queues)
 
     async def serve(self, request: ServiceRequest) -> Outcome:
-        """Run a request."""
+        """Dispatch a request to a worker and return its outcome."""
         return await self._dispatcher.serve(request)
 
     async def look_up(self, team: TeamId, key: str) -> Outcome:
@@ -107,7 +107,7 @@
         return outcome
 
     def apply_configuration(self, active: ActiveConfiguration) -> None:
-        """Follow a change of the configuration."""
+        """Apply the services and the routing policy of a configuration."""
         configuration: Configuration = active.configuration
         self.services = frozenset(
             service.name for service in configuration.services
@@ -118,7 +118,7 @@
         )
 
     def on_workers_changed(self) -> None:
-        """Follow a change of the roster."""
+        """Limit the health records to the live workers of the table."""
         live = self._deps.worker_table.live()
         self.health.set_workers(
             frozenset(worker.worker_id for worker in live),
@@ -146,8 +146,8 @@
             refused=self._on_refused,
             observe=self._latencies.observe,
             observe_lower_bound=self._latencies.observe_lower_bound,
-            enqueue_settle=self._settle_later,
-            enqueue_cancel=self._cancel_later,
+            enqueue_settle=self._enqueue_settle,
+            enqueue_cancel=self._enqueue_cancel,
             get_agent=self._deps.agents.get_agent,
             claims=self._deps.claims,
             policy=self._policy,
@@ -221,11 +221,11 @@
         self._deps.capacity_manager.refused(permit, refusal)
         self._on_call_ended(permit)
 
-    def _settle_later(self, permit: Permit, call_id: CallId) -> None:
+    def _enqueue_settle(self, permit: Permit, call_id: CallId) -> None:
         self._deps.capacity_manager.permit_pool.mark_in_doubt(permit)
         self.settlement.enqueue_settle(permit, call_id)
 
-    def _cancel_later(self, permit: Permit, call_id: CallId) -> None:
+    def _enqueue_cancel(self, permit: Permit, call_id: CallId) -> None:
         self._deps.capacity_manager.permit_pool.mark_in_doubt(permit)
         self.settlement.enqueue_cancel(permit, call_id)
 
--- a/src/marjoramwharf/programs/_settings_reference.py
+++ b/src/marjoramwharf/programs/_settings_reference.py
@@ -1,4 +1,4 @@
-"""The reference of all settings, generated from the checked models."""
+"""The reference of all settings, generated from their msgspec models."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 
 def settings_reference() -> str:
     """Return the reference as Markdown."""
-    parts = [_HEADER]
+    sections = [_HEADER]
     for title, model in (
         ('Settings of an entry', EntrySettings),
         ('Release note', ReleaseNote),
     ):
         info = inspect.type_info(model)
         rows = ''.join(_rows('', info))
-        parts.append(f'\n## {title}\n\n{_TABLE}{rows}')
-    return ''.join(parts)
+        sections.append(f'\n## {title}\n\n{_TABLE}{rows}')
+    return ''.join(sections)
 
 
 def _rows(prefix: str, info: Any) -> Iterator[str]:
     for field in info.fields:
         path = f'{prefix}{field.encode_name}'
-        inner = _without_none(field.type)
+        inner = _strip_optional(field.type)
         if isinstance(inner, inspect.StructType):
             yield from _rows(f'{path}.', inner)
             continue
@@ -53,12 +53,17 @@
         if isinstance(element, inspect.StructType):
             yield from _rows(f'{path}[].', element)
             continue
-        cells = (f'`{path}`', _kind(inner), _range(inner), _default(field))
+        cells = (
+            f'`{path}`',
+            _type_name(inner),
+            _range_text(inner),
+            _default_text(field),
+        )
         text = ' | '.join(cell.replace('|', r'\|') for cell in cells)
         yield f'| {text} |\n'
 
 
-def _without_none(info: Any) -> Any:
+def _strip_optional(info: Any) -> Any:
     if not isinstance(info, inspect.UnionType):
         return info
     return next(
@@ -66,19 +71,19 @@
     )
 
 
-def _kind(info: Any) -> str:
+def _type_name(info: Any) -> str:
     if isinstance(info, inspect.TupleType):
-        return f'{len(info.item_types)} of {_kind(info.item_types[0])}'
+        return f'{len(info.item_types)} of {_type_name(info.item_types[0])}'
     if isinstance(info, inspect.VarTupleType):
-        return f'list of {_kind(info.item_type)}'
+        return f'list of {_type_name(info.item_type)}'
     return type(info).__name__.removesuffix('Type').lower()
 
 
-def _range(info: Any) -> str:
+def _range_text(info: Any) -> str:
     if isinstance(info, inspect.TupleType):
-        return _range(info.item_types[0])
+        return _range_text(info.item_types[0])
     if isinstance(info, inspect.VarTupleType):
-        return _range(info.item_type)
+        return _range_text(info.item_type)
     bounds = (
         form.format(getattr(info, name))
         for name, form in _BOUNDS
@@ -87,7 +92,7 @@
     return ', '.join(bounds)
 
 
-def _default(field: Any) -> str:
+def _default_text(field: Any) -> str:
     if field.required:
         return 'required'
     if field.default is None:
--- a/src/marjoramwharf/programs/_task_placement.py
+++ b/src/marjoramwharf/programs/_task_placement.py
@@ -1,4 +1,7 @@
-"""Chooses workers for tasks, at this entry's desk and at the peers'."""
+"""Places tasks on workers of this entry and of its peers.
+
+An entry reserves capacity in the allocator of whichever entry owns the worker.
+"""
 
 from __future__ import annotations
 
@@ -33,19 +36,19 @@
 from marjoramwharf.machines.calls import Demand
 from marjoramwharf.machines.worker import Worker
 
-# The index follows the ledgers with a delay of one heartbeat, so a choice
-# can be outdated; each try corrects one worker's entry.
+# The index lags behind the ledgers by up to one heartbeat, so a choice can be
+# outdated; each failed try corrects the index for one worker.
 _MAX_TRIES_COUNT = 4
 _CORDON_S = 1.0
 
-# Owners asked for one task before it waits for the next round.
+# How many owners are asked for one task before it waits for the next round.
 _MAX_OWNERS_ASKED_COUNT = 3
 
 
 class IndexedWorkerSelector:
-    """Chooses an owned worker for a task with a placement index.
+    """Selects an owned worker for a task with a placement index.
 
-    ``get_reserved_demand`` returns what is kept free on a worker for its services.
+    ``get_reserved_demand`` returns what a worker keeps free for its services.
     """
 
     def __init__(
@@ -64,7 +67,10 @@
         attempt_request: AttemptRequest,
         now_s: float,
     ) -> WorkerLedger | None:
-        """Return a worker with room; the cost is independent of their number."""
+        """Return the ledger of a worker with capacity, or ``None``.
+
+        The cost does not depend on the number of workers.
+        """
         placement_request = PlacementRequest(
             task_id=attempt_request.task_id,
             job=_get_job_id(attempt_request.task_id),
@@ -88,7 +94,7 @@
         return None
 
     def update_index(self, ledger: WorkerLedger) -> None:
-        """Take over what a ledger holds, after a report of its worker."""
+        """Copy the reservations of a ledger after its worker has reported."""
         worker = ledger.worker
         if ledger.leaving:
             self._index.remove(worker.worker_id)
@@ -104,15 +110,15 @@
             )
 
     def on_released(self, worker_id: WorkerId, attempt: AttemptKey) -> None:
-        """Free the room of an attempt."""
+        """Free the capacity of an attempt in the index."""
         self._index.free(worker_id, attempt[0])
 
 
 class EntryCapacity:
-    """Reservations at this entry's desk and at peers.
+    """Reserves capacity in this entry's allocator and at peers.
 
-    ``owner_of`` names the owner of a worker, ``sizes`` returns the distinct
-    sizes of all known workers.
+    ``owner_of`` returns the owner of a worker, ``sizes`` the distinct sizes
+    of all listed workers.
     """
 
     def __init__(
@@ -126,7 +132,7 @@
         rng: random.Random,
         now: Callable[[], float],
     ) -> None:
-        """Start without knowledge of the peers' free processors."""
+        """Start with no figures of the free processors of any entry."""
         self._entry_id = entry_id
         self._allocator = allocator
         self._peers = peers
@@ -137,20 +143,21 @@
         self._free_millicores: dict[EntryId, int] = {}
 
     def update_own_capacity(self) -> None:
-        """Take over the free processors of the own workers."""
+        """Update the number of free processors of the owned workers."""
         self._free_millicores[self._entry_id] = free_millicores(self._allocator)
 
     def on_peer_summary(self, sender: EntryId, summary: Message) -> None:
-        """Take over the free processors of a peer's workers."""
+        """Store the number of free processors that a peer reports."""
         self._free_millicores[sender] = summary.free_millicores or 0
 
     async def reserve(
         self, request: ReservationRequest
     ) -> Reservation | NoWorkerFound:
-        """Ask a few owners, at random in proportion to what is free there.
+        """Reserve capacity at one of a few randomly drawn owners.
 
-        An owner whose answer was lost frees the reservation after the worker
-        has confirmed that the attempt never ran.
+        An owner is drawn with a probability in proportion to its free
+        processors. An owner whose answer was lost frees the reservation after
+        the worker has confirmed that the attempt never ran.
         """
         if not self.can_hold(request.demand):
             return NoWorkerFound(Reason.NEVER_FITS)
@@ -169,7 +176,7 @@
         return NoWorkerFound()
 
     async def release(self, reservation: str) -> None:
-        """Give room back at the owner of the worker."""
+        """Release a reservation at the owner of the worker."""
         worker_id = WorkerId(reservation.rpartition('@')[2])
         owner = self._owner_of(worker_id)
         if owner == self._entry_id:
@@ -177,12 +184,14 @@
             return
         peer = None if owner is None else self._peers().get(owner)
         if peer is None:
-            raise PeerUnreachable(message='the owner is not connected')
+            raise PeerUnreachable(
+                message='the owner of the worker is not connected'
+            )
         release = ttypes.Release(reservation_id=reservation)
         await peer.call(release, timeout_s=PEER_TIMEOUT_S)
 
     def can_hold(self, demand: Demand) -> bool:
-        """Tell whether a known worker is large enough, or none is known."""
+        """Tell whether a listed worker is large enough, or none is listed."""
         sizes = self._sizes()
         return not sizes or any(_fits(demand, size) for size in sizes)
 
@@ -262,7 +271,7 @@
 
 
 def demand_message(demand: Demand) -> Message:
-    """Return the message that states a size."""
+    """Encode a demand as a message."""
     return ttypes.Demand(
         cpu_millicores=demand.cpu_millicores,
         memory_mb=demand.memory_mb,
--- a/src/marjoramwharf/programs/_task_reports.py
+++ b/src/marjoramwharf/programs/_task_reports.py
@@ -1,7 +1,7 @@
-"""Passes the task reports of the owned workers on to the job owners.
+"""Forwards the task reports of the owned workers to the job owners.
 
-A job owner needs the ends of attempts soon, and regularly the complete list
-of a worker's tasks, since a task that is missing from it was lost.
+A job owner needs the ends of attempts soon. It also needs the complete list
+of a worker's tasks regularly, since a task that is missing from it was lost.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
 from marjoramwharf.programs._task_placement import demand_message
 
 _SEND_INTERVAL_S = 1.0
-# Groups the ends that several workers report at the same time.
+# Combines the ends that several workers report at about the same time.
 _BATCH_DELAY_S = 0.05
 _NO_EPOCH = Epoch(0)
-# Replies of one worker that wait while the store is slow. An end that is
-# dropped with an old reply is asked for when the task is missing later.
+# Replies of one worker that are queued while the store is slow. The oldest is
+# dropped; an end in it is asked for later, when the task is found missing.
 _MAX_QUEUED_REPLIES_COUNT = 8
 
 _Queue: TypeAlias = deque[tuple[LeaseReply, frozenset[ShardId] | None]]
 
 
 class TaskReportRelay:
-    """Takes in the reports of workers and passes on those of other owners.
+    """Applies the reports for own job shards and forwards the others.
 
-    ``records`` returns the ownership records of the job shards, ``on_worker_seen``
-    is called for each worker that is known to have answered.
+    ``records`` returns the ownership records of the job shards;
+    ``on_worker_seen`` is called for each worker whose reports arrive.
     """
 
     def __init__(
@@ -60,8 +60,8 @@
         self._on_worker_seen = on_worker_seen
         self._nursery: trio.Nursery | None = None
         self._latest: dict[WorkerId, LeaseReply] = {}
-        # Ends that a job owner has received, with the epoch of its shard: a
-        # later owner must get them again.
+        # Ends that a job owner has acknowledged, with the epoch of its shard:
+        # the owner of a later epoch must get them again.
         self._passed_on: dict[WorkerId, dict[TaskReport, Epoch]] = {}
         self._unsent: defaultdict[EntryId, set[WorkerId]] = defaultdict(set)
         self._queues: dict[WorkerId, _Queue] = {}
@@ -73,7 +73,7 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Pass reports on until cancelled."""
+        """Forward reports until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
@@ -85,7 +85,7 @@
                 self._send_all(nursery)
 
     def on_lease(self, worker_id: WorkerId, reply: LeaseReply) -> None:
-        """Take in the reply of an owned worker."""
+        """Queue the heartbeat reply of an owned worker for all job owners."""
         self._on_worker_seen(worker_id)
         self._latest[worker_id] = reply
         self._enqueue(worker_id, reply, None)
@@ -111,10 +111,11 @@
         _sender: PeerIdentity,
         message: Message,
     ) -> Message:
-        """Take in the reports of a peer's workers.
+        """Queue the reports of a peer's workers and acknowledge them.
 
-        The answer does not wait for the store: the outcomes are tried again
-        here until they are durable, and a later owner asks by itself.
+        The answer does not wait for the store: this entry retries the commit
+        of the outcomes until they are durable, and a later owner of the shard
+        asks for them itself.
         """
         for worker in message.workers:
             worker_id = WorkerId(worker.worker_id)
@@ -157,7 +158,7 @@
         records: Mapping[ShardId, OwnerRecord],
         report: TaskReport,
     ) -> bool:
-        """Tell whether a report is an end that its owner does not know."""
+        """Tell whether a report is an end not yet forwarded to its owner."""
         record = _find_record(records, report)
         if record is None or record.owner == self._entry_id:
             return False
--- a/src/marjoramwharf/programs/_web.py
+++ b/src/marjoramwharf/programs/_web.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WebDependencies:
-    """What the application's own routes show and control."""
+    """What the routes for health, metrics, status and drain use."""
 
     gate: DrainGate
     metrics: Metrics
@@ -35,7 +35,7 @@
 
 
 def build_app(deps: WebDependencies, *blueprints: Blueprint) -> QuartTrio:
-    """Build the application with the routes of all parts."""
+    """Build the application from the entry's own routes and ``blueprints``."""
     app = QuartTrio('marjoramwharf')
     app.config['MAX_CONTENT_LENGTH'] = _MAX_BODY_BYTES
     app.register_blueprint(_entry_blueprint(deps))
--- a/src/marjoramwharf/programs/cells.py
+++ b/src/marjoramwharf/programs/cells.py
@@ -1,8 +1,8 @@
-"""``marjoramwharf-cells``: owners, jobs and workers as the store has them.
+"""``marjoramwharf-cells``: owners, jobs and workers as stored.
 
     marjoramwharf-cells --store 10.200.1.7:8169
 
-It only reads, so it may be run at any time, also while entries are down.
+It only reads the store, so it is safe at any time, also while entries are down.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 
 async def job_rows(store: PollingStore, cell: CellId) -> list[Row]:
-    """Return how many jobs of a cell are in which phase."""
+    """Return one row with the number of jobs of a cell in each phase."""
     phases: Counter[str] = Counter()
     running = 0
     for stored in (await store.read_prefix(progress_prefix(cell))).found:
@@ -80,7 +80,7 @@
 
 
 async def worker_rows(store: PollingStore) -> list[Row]:
-    """Return a row for each listed worker."""
+    """Return a row for each listed worker, also for unreadable listings."""
     rows: list[Row] = []
     for stored in (await store.read_prefix(WORKERS_PREFIX)).found:
         try:
@@ -135,7 +135,7 @@
 
 
 def main() -> int:
-    """Run the command line; 3 if the store is not reached."""
+    """Run the command; returns 3 if the store can't be reached."""
     command = cappa.parse(Cells)
     return run_command(command.run)
 
--- a/src/marjoramwharf/programs/ctl.py
+++ b/src/marjoramwharf/programs/ctl.py
@@ -52,8 +52,8 @@
     'an entry that starts or drains is not ready; if this lasts for more than '
     'a minute, look for "store:" and "notes:" in its log'
 )
-_ADVICE_UNREAD = 'check that the entry reaches the store (store.url)'
-_ADVICE_BEHIND = (
+_ADVICE_NOTE_NOT_READ = 'check that the entry reaches the store (store.url)'
+_ADVICE_OUTDATED_NOTE = (
     "a note must be in force within 11 s; if this lasts, check the entry's "
     'connection to the store and restart the entry'
 )
@@ -70,7 +70,7 @@
     """Let one entry finish its requests and hand over its shards."""
 
     def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
-        """Ask exactly one entry to drain."""
+        """Send the drain request to exactly one entry."""
         if len(client.urls) != 1:
             raise BadSettings(message='drain needs exactly one --entry URL')
         reply = client.send_to(client.urls[0], 'POST', '/v1/drain')
@@ -89,22 +89,22 @@
 
     def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
         """Print a row for each entry."""
-        found = client.send_to_all('GET', '/v1/status')
+        outcomes = client.send_to_all('GET', '/v1/status')
         rows = [
             _status_row(url, answer, as_json=as_json)
-            for url, answer in zip(client.urls, found, strict=True)
+            for url, answer in zip(client.urls, outcomes, strict=True)
         ]
         print_rows(rows, as_json=as_json)
-        return worst_exit_code(found)
+        return worst_exit_code(outcomes)
 
 
 @cappa.command(name='doctor')
 @dataclass
 class Doctor:
-    """Say what is wrong with the entries and what to do."""
+    """Report problems of the entries and what to do about them."""
 
     def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
-        """Print the findings; refused (1) if there are any."""
+        """Print the findings; returns 1 (refused) if there are any."""
         ready = client.send_to_all('GET', '/readyz')
         notes = client.send_to_all('GET', '/v1/notes/current')
         rows = [
@@ -126,7 +126,7 @@
     """Print all settings with type, range and default as Markdown."""
 
     def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
-        """Print the reference; no entry is asked."""
+        """Print the reference; no request is sent."""
         sys.stdout.write(settings_reference())
         return ExitCode.DONE
 
@@ -142,7 +142,7 @@
 )
 @dataclass
 class Ctl:
-    """The command line."""
+    """The options and subcommands of ``marjoramwharf-ctl``."""
 
     command: cappa.Subcommands[
         Note | Drain | Status | Doctor | SettingsReference
@@ -190,18 +190,18 @@
     if as_json:
         return {'url': url, **answer.body}
     flat = {
-        name: shown
-        for name, shown in answer.body.items()
-        if not isinstance(shown, dict | list)
+        name: content
+        for name, content in answer.body.items()
+        if not isinstance(content, dict | list)
     }
     return {'url': url, **flat}
 
 
 def _ready_findings(
     urls: Sequence[str],
-    found: list[Reply | EntryUnreachable],
+    outcomes: list[Reply | EntryUnreachable],
 ) -> Iterator[dict[str, str]]:
-    for url, answer in zip(urls, found, strict=True):
+    for url, answer in zip(urls, outcomes, strict=True):
         if isinstance(answer, EntryUnreachable):
             yield _finding(url, answer.message, _ADVICE_UNREACHABLE)
         elif answer.exit_code is not ExitCode.DONE:
@@ -211,12 +211,12 @@
 
 def _note_findings(
     urls: Sequence[str],
-    found: list[Reply | EntryUnreachable],
+    outcomes: list[Reply | EntryUnreachable],
 ) -> Iterator[dict[str, str]]:
-    # An unreachable entry is reported once, by its readiness.
+    # An unreachable entry is reported only once, by the readiness findings.
     replies = [
         (url, answer)
-        for url, answer in zip(urls, found, strict=True)
+        for url, answer in zip(urls, outcomes, strict=True)
         if isinstance(answer, Reply)
     ]
     revisions = [reply.body.get('revision', 0) for _url, reply in replies]
@@ -233,10 +233,16 @@
     if reply.exit_code is not ExitCode.DONE:
         return f'notes: status {reply.status}', _ADVICE_REFUSED
     if not reply.body['is_synchronised']:
-        return 'the release note in force was not read yet', _ADVICE_UNREAD
+        return (
+            'the release note in force was not read yet',
+            _ADVICE_NOTE_NOT_READ,
+        )
     revision = reply.body['revision']
     if revision < newest:
-        return f'revision {revision}, others have {newest}', _ADVICE_BEHIND
+        return (
+            f'revision {revision}, others have {newest}',
+            _ADVICE_OUTDATED_NOTE,
+        )
     return '', ''
 
 
--- a/src/marjoramwharf/programs/entry.py
+++ b/src/marjoramwharf/programs/entry.py
@@ -1,6 +1,6 @@
 """``marjoramwharf-entry``: the daemon on an entry instance.
 
-This module is the composition root: it makes every part once, connects them,
+This module is the composition root: it creates all components, connects them,
 runs their tasks, and carries out the planned stop.
 """
 
@@ -65,7 +65,7 @@
 from marjoramwharf.zones.topology import build_topology
 
 _MS_PER_S = 1_000
-# The balancer takes about this long to notice that an entry is not ready.
+# The load balancer takes about this long to notice an entry that is not ready.
 _BALANCER_LAG_S = 1.0
 _HTTP_GRACE_S = 3
 _JOBS_GRACE_S = 5
@@ -74,7 +74,7 @@
 
 
 class Entry:
-    """The parts of one entry."""
+    """All components of one entry, connected to each other."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         store: GuardedStore,
         directory: DirectoryClient,
     ) -> None:
-        """Make and connect all parts; nothing runs yet."""
+        """Create and connect all components; nothing runs yet."""
         self.settings = settings
         self.store = store
         self.directory = directory
@@ -144,11 +144,11 @@
         )
 
     def is_ready(self) -> bool:
-        """Tell whether the entry may get requests."""
+        """Tell whether the entry can serve requests."""
         return self.notes.is_synchronised and bool(self.worker_table.known())
 
     def status(self) -> dict[str, Any]:
-        """Return what operators see of this entry."""
+        """Return the status of this entry that operators see."""
         return {
             'entry': self.settings.entry_id,
             'incarnation': self.identity.incarnation,
@@ -287,7 +287,7 @@
 
 
 async def run_entry(settings: EntrySettings) -> None:
-    """Run an entry until a planned stop has ended."""
+    """Run an entry until its planned stop is complete."""
     async with open_store(settings.store) as raw:
         async with open_directory(settings.directory) as directory:
             store = GuardedStore(raw, settings.store)
@@ -302,7 +302,7 @@
 
 
 async def _start(entry: Entry, nursery: trio.Nursery) -> None:
-    """Start the tasks in the order in which they need each other."""
+    """Start the tasks in the order of their dependencies."""
     listen = entry.settings.listen
     handlers = entry.capacity_manager.handlers()
     entry.batch_path.add_handlers(handlers)
@@ -333,7 +333,7 @@
 
 
 async def _stop(entry: Entry) -> None:
-    """Drain, give back what is held, and leave the members."""
+    """Drain, return grants and shards, and leave the list of members."""
     _log.info('draining', in_flight=entry.gate.in_flight_count)
     entry.registration.leave()
     with trio.move_on_after(_JOBS_GRACE_S):
--- a/src/marjoramwharf/programs/explain.py
+++ b/src/marjoramwharf/programs/explain.py
@@ -1,10 +1,10 @@
-"""``marjoramwharf-explain``: the story of one job from the logs of all entries.
+"""``marjoramwharf-explain``: a timeline of one job from the logs of all entries.
 
     marjoramwharf-explain 5c0e7a21d94b36f8 entry-*.log
 
-Lines that name the job, one of its tasks, or a worker or owner at the time of
-one of its runs are printed in order of time. Lines that can't be read are
-counted, not dropped silently.
+Printed in order of time are the lines that name the job or one of its tasks.
+Between the first and the last of them, changes of the job's workers, of owners
+and of the store are printed too. Unreadable lines are counted and reported.
 """
 
 from __future__ import annotations
@@ -50,18 +50,18 @@
 
     @property
     def time(self) -> str:
-        """The time of day, in a form that sorts."""
+        """The timestamp as text that sorts in order of time."""
         return str(self.fields.get(_TIME, ''))
 
     @property
     def event(self) -> str:
-        """What happened."""
+        """The event text, with the prefix of the logging component."""
         return str(self.fields.get(_EVENT, ''))
 
 
 @dataclass
 class JobTimeline:
-    """The lines of one job."""
+    """The log lines that explain one job."""
 
     lines: list[LogLine] = field(default_factory=list)
     unreadable_count: int = 0
@@ -70,7 +70,7 @@
 def build_timeline(
     job_id: str, sources: Mapping[str, Iterable[str]]
 ) -> JobTimeline:
-    """Return the lines of a job, with what happened around them."""
+    """Return the lines of a job and the context events between them."""
     timeline = JobTimeline()
     all_lines = sorted(
         _parse_lines(sources, timeline),
@@ -98,7 +98,7 @@
 
 
 def describe(line: LogLine) -> str:
-    """Return a line for people."""
+    """Format a log line for people."""
     details = ' '.join(
         f'{name}={content}'
         for name, content in line.fields.items()
@@ -140,7 +140,7 @@
 @cappa.command(name='marjoramwharf-explain')
 @dataclass
 class Explain:
-    """Print the story of a job from log files, or from standard input."""
+    """Print a timeline of one job from log files or standard input."""
 
     job_id: Annotated[str, cappa.Arg(help='Id of the job.')]
     files: Annotated[
@@ -149,7 +149,7 @@
     ]
 
     def run(self) -> int:
-        """Print the lines; 1 if the job is not named in any."""
+        """Print the lines; returns 1 if none of them names the job."""
         sources = self._sources()
         timeline = build_timeline(self.job_id, sources)
         for line in timeline.lines:
--- a/src/marjoramwharf/programs/job.py
+++ b/src/marjoramwharf/programs/job.py
@@ -43,18 +43,18 @@
 
 TEAM_VARIABLE = 'MARJORAMWHARF_TEAM'
 
-# An entry holds a waiting call for at most this long.
+# An entry delays its response to a waiting call for at most this long.
 _MAX_WAIT_S = 10
 
 _RETRY_S = 1
 
-# An impossible job waits for larger workers; nobody else waits for those.
+# An impossible job may wait for larger workers forever, so the command ends.
 _FINAL_STATES = frozenset(('done', 'failed', 'cancelled', 'impossible'))
 
 
 @dataclass(frozen=True, slots=True)
 class Clock:
-    """The time, in monotonic seconds, and a way to wait."""
+    """A monotonic clock in seconds and a sleep function, replaced in tests."""
 
     now_s: Callable[[], float] = time.monotonic
     sleep: Callable[[float], None] = time.sleep
@@ -76,7 +76,7 @@
     ] = field(default_factory=random_id)
 
     def run(self, client: EntryClient, _clock: Clock, *, as_json: bool) -> int:
-        """Print the id of the job."""
+        """Print the id of the job, or the key for a repeat."""
         body = read_object(self.file)
         try:
             reply = client.send_to_any(
@@ -114,13 +114,13 @@
 @cappa.command(name='wait')
 @dataclass
 class Wait:
-    """Wait until a job has ended; refused (1) if it did not succeed."""
+    """Wait until a job has ended; exit code 1 if it did not succeed."""
 
     job_id: str
     timeout_s: Annotated[float, cappa.Arg(long=True)] = 3600
 
     def run(self, client: EntryClient, clock: Clock, *, as_json: bool) -> int:
-        """Print the final state; unknown (4) after the timeout."""
+        """Print the final state; returns 4 (unknown) after the timeout."""
         deadline_s = clock.now_s() + self.timeout_s
         while True:
             remaining_s = max(deadline_s - clock.now_s(), 0)
@@ -130,11 +130,11 @@
             if clock.now_s() >= deadline_s:
                 print_error(f'not ended after {self.timeout_s} s')
                 return ExitCode.UNKNOWN
-            # EntryClient may answer a waiting call early.
+            # An entry may answer a waiting call before the wait is over.
             clock.sleep(_RETRY_S)
 
     def _poll(self, client: EntryClient, wait_s: float) -> Reply | None:
-        # All entries may be replaced while a job runs.
+        # All entries may be replaced while a job runs, so keep polling.
         try:
             reply = _fetch_job(client, self.job_id, wait_s)
         except EntryUnreachable as failure:
@@ -146,7 +146,7 @@
 @cappa.command(name='cancel')
 @dataclass
 class Cancel:
-    """Cancel a job; a repeat has no further effect."""
+    """Cancel a job; cancelling it again has no effect."""
 
     job_id: str
 
@@ -168,7 +168,7 @@
     limit: Annotated[int, cappa.Arg(long=True)] = 100
 
     def run(self, client: EntryClient, _clock: Clock, *, as_json: bool) -> int:
-        """Print a row for each job; unknown (4) if some did not answer."""
+        """Print a row for each job; returns 4 if some shards did not answer."""
         query = {'limit': str(self.limit)}
         if client.team:
             query['team'] = client.team
@@ -197,7 +197,7 @@
 )
 @dataclass
 class Job:
-    """The command line."""
+    """The options and subcommands of ``marjoramwharf-job``."""
 
     command: cappa.Subcommands[Submit | Status | Wait | Cancel | ListJobs]
     entry: EntryOption
@@ -253,7 +253,7 @@
 
 
 def _is_final(reply: Reply) -> bool:
-    # 429 and 503 pass, so the wait goes on.
+    # 429 and 503 are temporary, so the wait goes on.
     if reply.status in {429, 503}:
         return False
     is_refused = reply.exit_code is not ExitCode.DONE
@@ -274,9 +274,9 @@
         print_json(reply.body)
     else:
         row: dict[str, Any] = {
-            name: shown
-            for name, shown in reply.body.items()
-            if not isinstance(shown, dict)
+            name: content
+            for name, content in reply.body.items()
+            if not isinstance(content, dict)
         }
         print_rows([row], as_json=False)
     return ExitCode.DONE
--- a/src/marjoramwharf/programs/platform_entry.py
+++ b/src/marjoramwharf/programs/platform_entry.py
@@ -1,7 +1,7 @@
 """The daemon of an entry instance on the users' platform.
 
-This module is the composition root: it reads the settings, wires the parts
-and runs them until it is told to stop.
+This module is the composition root: it reads the settings, connects the
+components and runs them until a signal stops the process.
 """
 
 from __future__ import annotations
@@ -67,32 +67,32 @@
 _CONFIG_PREFIX = 'op/'
 _MS_PER_S = 1_000
 
-# Longer than the store takes when it is a hundred times slower than usual; a
-# lost answer delays a start or a submission by this much.
+# Longer than the store takes when it is a hundred times slower than usual. A
+# lost answer delays a start or a submission by this time.
 _STORE_TIMEOUT_S = 0.6
 _RENEWAL_TIMEOUT_S = 0.7
 
-# An instance that does not answer at all is given up earlier than one that
-# answers slowly.
+# Shorter than the other timeouts, so that an instance that does not answer at
+# all is given up earlier than one that answers slowly.
 _CONNECT_TIMEOUT_S = 0.3
 _OWNER_TIMEOUT_S = 0.3
 
-# The owner's lease: short, since nothing starts between two owners.
+# The lease of the owner. Short, since no run starts between two owners.
 _OWNER_TTL_MS = 2_000
 
-# The share of the longest lease that a run gets, so that it outlives a change
-# of owner.
-_HOLD_SHARE = 0.65
+# The lease of a run as a share of the longest allowed one, so that the run
+# outlives a change of owner.
+_HOLD_LEASE_SHARE = 0.65
 
-# An owner whose lease can't be renewed extends the leases of runs for so long.
+# For how long an owner whose own lease has expired still extends those of runs.
 _HOLD_AFTER_LAPSE_S = 1.2
 
-# The waits of the watches: a connection that went silent is noticed a second
-# after them, and a configuration has to be in force within two seconds.
+# How long a watch request waits for a change. A silent connection is noticed
+# one second after that, and a configuration must be in force within 2 s.
 _CONFIG_WAIT_MS = 900
 _OWNERS_WAIT_MS = 2_000
 
-# The platform needs two looks, a second apart, to stop sending connections.
+# The platform stops sending connections after two readiness checks, 1 s apart.
 _READINESS_GAP_S = 2.2
 _STOP_MARGIN_S = 1.0
 
@@ -103,7 +103,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """The parts of the process, wired."""
+    """All components of the process, connected to each other."""
 
     settings: InstanceSettings
     secret: str = field(default_factory=random_id)
@@ -128,7 +128,7 @@
     owner_link: OwnerLink = field(init=False)
 
     def __post_init__(self) -> None:
-        """Wire the parts."""
+        """Create and connect the components."""
         settings = self.settings
         record = EntryRecord(
             entry_id=settings.entry_id,
@@ -182,7 +182,7 @@
 
     @property
     def identity(self) -> PeerIdentity:
-        """How this process names itself to peers."""
+        """The identity that this process sends to peers."""
         return PeerIdentity(
             entry_id=self.settings.entry_id,
             incarnation=Incarnation(self.secret[:8]),
@@ -194,7 +194,7 @@
         return self.cell
 
     def is_ready(self) -> bool:
-        """Whether this entry takes callers."""
+        """Tell whether this entry accepts callers."""
         return (
             self.config.current is not None
             and not self.is_stopping
@@ -221,7 +221,7 @@
             nursery.start_soon(self.relay.run)
             nursery.start_soon(self.directory.run)
             nursery.start_soon(self.owner_link.run)
-            # A peer takes an owner that doesn't listen for one that is gone.
+            # Peers treat an owner that doesn't listen as ended, so listen first.
             await self._listen(nursery)
             nursery.start_soon(self.campaign.run)
             _LOG.info(
@@ -235,7 +235,7 @@
         _LOG.info('stopped', entry=settings.entry_id)
 
     async def run_cell(self, tenure: Tenure) -> None:
-        """Own the cell until the tenure ends."""
+        """Run the cell as its owner until the tenure ends."""
         cell = Cell(
             ownership=CellOwnership(
                 cell=tenure.cell,
@@ -253,7 +253,9 @@
                 workers_prefix=WORKERS_PREFIX,
                 decode_listing=decode_listing,
                 bounds=self.settings.bounds,
-                hold_ms=round(self.settings.bounds.max_hold_ms * _HOLD_SHARE),
+                hold_ms=round(
+                    self.settings.bounds.max_hold_ms * _HOLD_LEASE_SHARE
+                ),
                 counters=self.counters,
                 advice_client=self._build_advice_client(),
             ),
@@ -316,7 +318,7 @@
         try:
             listener = await open_listener(self.settings.host, METRICS_PORT)
         except OSError as failure:
-            _LOG.warning('no metrics', error=str(failure))
+            _LOG.warning('metrics port not opened', error=str(failure))
             return
         nursery.start_soon(HttpServer(metrics.handle).serve, listener)
 
@@ -328,13 +330,15 @@
         ) as signals:
             async for number in signals:
                 if number == signal.SIGHUP:
-                    _LOG.info('settings changed', effect='none until restart')
+                    _LOG.info(
+                        'settings change ignored', effect='none until restart'
+                    )
                     continue
                 break
         await self._stop()
 
     async def _stop(self) -> None:
-        """Hand over, answer what is under way, then end."""
+        """Hand the cell over, then finish the requests that are in flight."""
         _LOG.info('stopping', entry=self.settings.entry_id)
         self.is_stopping = True
         grace_s = self.settings.bounds.grace_ms / _MS_PER_S - _STOP_MARGIN_S
@@ -362,7 +366,7 @@
 def main() -> None:
     """Run the daemon with the platform's settings file.
 
-    With ``--check FILE`` the settings are only read and checked.
+    With ``--check FILE``, only read and check that settings file.
     """
     if len(sys.argv) > 1:
         from marjoramwharf.programs._check_settings import check_settings
--- a/tests/programs/test_cells.py
+++ b/tests/programs/test_cells.py
@@ -1,4 +1,4 @@
-"""Owners, jobs and workers as operators read them from the store."""
+"""The tables of owners, jobs and workers of ``marjoramwharf-cells``."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
     """Guards against tables that differ from what is stored."""
 
     def test_tables(self) -> None:
-        """Guards against jobs that are counted twice or left out."""
-        trio.run(self._tables)
+        """Guards against jobs counted twice or left out, and a printed secret."""
+        trio.run(self._check_tables)
 
-    async def _tables(self) -> None:
+    async def _check_tables(self) -> None:
         store = PollingMemoryStore()
         first, second = job_request('a'), job_request('b')
         task = TaskRecord(0, 0, 0, runs=(RunRecord(1, 'w1', 5),))
--- a/tests/programs/test_ctl.py
+++ b/tests/programs/test_ctl.py
@@ -1,4 +1,4 @@
-"""``marjoramwharf-ctl`` against the note endpoints and played entries."""
+"""``marjoramwharf-ctl`` against the note endpoints of simulated entries."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     """Guards against commands that hide what the entries answered."""
 
     def setUp(self) -> None:
-        """Serve two entries on one store."""
+        """Serve the note endpoints of two entries on one store."""
         state = KeyValueState()
         self.apps = {
             f'10.0.0.{number}': _app(MemoryStore(state), f'entry-{number}')
@@ -62,7 +62,7 @@
         )
 
     def test_note_is_checked_compared_accepted_and_shown(self) -> None:
-        """Guards against commands that disagree about one note."""
+        """Guards against commands that show different states of one note."""
         path = str(self.file)
         checked = self._run('note', 'check', path, *_ENTRIES)
         self.assertEqual(
@@ -84,7 +84,7 @@
         self.assertRegex(status[1], 'entry-2 +0 .*behind 1')
 
     def test_conflict_is_explained(self) -> None:
-        """Guards against a refusal without the other note."""
+        """Guards against a conflict that doesn't name the conflicting note."""
         self._run('note', 'accept', str(self.file), *_ENTRIES)
         self.file.write_text(
             note_text('"limits": {"team_count": 90}', note_id='n-2'),
@@ -101,7 +101,7 @@
         self.assertIn('note n-1 of ana, revision 1: limits.team_count', errors)
 
     def test_problems_name_file_line_and_field(self) -> None:
-        """Guards against an operator who has to search the file."""
+        """Guards against problems without the position in the note file."""
         self.file.write_text(note_text('"instances":\n{"withdrawn": ["w"]}'))
         code, _out, errors = self._run(
             'note',
@@ -138,7 +138,7 @@
         self.assertEqual(self._run('status', *_ENTRIES)[0], 3)
 
     def test_status_of_an_entry_that_refuses(self) -> None:
-        """Guards against a page of HTML as the state of an entry."""
+        """Guards against an HTML error page printed as the state of an entry."""
         code, out, errors = self._run('status', *_ENTRIES)
         self.assertEqual(code, 1)
         self.assertRegex(out, '10.0.0.2:80 +refused')
@@ -162,12 +162,12 @@
         self.assertEqual(self._run('drain', *_ENTRIES[:2])[0], 0)
 
     def test_settings_page_is_up_to_date(self) -> None:
-        """Guards against a page that differs from the checked models."""
+        """Guards against a settings page that differs from the models."""
         page = (_ROOT / 'docs' / 'settings.md').read_text(encoding='utf-8')
         self.assertEqual(self._run('settings-reference')[1], page)
 
     def test_examples_fit_an_empty_deployment(self) -> None:
-        """Guards against examples that are refused."""
+        """Guards against example notes that the check refuses."""
         for path in sorted((_ROOT / 'examples').glob('*-note.json')):
             with self.subTest(path=path.name):
                 code, _out, errors = self._run(
--- a/tests/programs/test_explain.py
+++ b/tests/programs/test_explain.py
@@ -1,4 +1,4 @@
-"""The story of a job from the logs of several entries."""
+"""The timeline of a job from the logs of several entries."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class ExplainTests(unittest.TestCase):
-    """Guards against a story that doesn't name the cause."""
+    """Guards against a timeline without the cause of a delay."""
 
     def test_job_delayed_by_a_worker(self) -> None:
-        """Guards against lines of other jobs, and causes that are left out."""
+        """Guards against lines of other jobs and omitted context events."""
         first = [
             _line(1, 'intake: job accepted', job=_JOB),
             _line(1, 'intake: job accepted', job='other'),
@@ -52,6 +52,6 @@
         self.assertIn('worker=w1', describe(timeline.lines[2]))
 
     def test_unknown_job(self) -> None:
-        """Guards against a story about nothing."""
+        """Guards against context events for a job that no line names."""
         timeline = build_timeline('none', {'e1': [_line(1, 'main: started')]})
         self.assertFalse(timeline.lines)
--- a/tests/programs/test_gauges.py
+++ b/tests/programs/test_gauges.py
@@ -37,10 +37,10 @@
 
 
 class GaugesTests(unittest.TestCase):
-    """Guards against metrics that are stale or that nobody can read."""
+    """Guards against stale metrics and alerts on unknown metrics."""
 
-    def test_scrape_reads_the_parts(self) -> None:
-        """Guards against values of an earlier scrape."""
+    def test_scrape_reads_present_values(self) -> None:
+        """Guards against a scrape that returns the values of an earlier one."""
         first, second = trio.run(_scrape_twice)
         calls = 'marjoramwharf_store_calls_total{kind="reads"}'
         self.assertIn(f'{calls} 0', first)
@@ -52,7 +52,7 @@
         self.assertIn('marjoramwharf_permits_in_doubt_count 0', second)
 
     def test_alerts_name_existing_metrics(self) -> None:
-        """Guards against an alert that never fires."""
+        """Guards against alerts on missing metrics and unexplained metrics."""
         shown = trio.run(_scrape_twice)[1]
         exported = set(re.findall(r'# TYPE (\w+)', shown))
         page = _ALERTS.read_text(encoding='utf-8')
--- a/tests/programs/test_job.py
+++ b/tests/programs/test_job.py
@@ -1,4 +1,4 @@
-"""``marjoramwharf-job`` against entries that a transport plays."""
+"""``marjoramwharf-job`` against entries simulated by an HTTP transport."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self.file.write_text('{"class": "quote-run"} // a job')
 
     def test_submit_asks_next_entry_if_nothing_was_sent(self) -> None:
-        """Guards against a failure while another entry would answer."""
+        """Guards against failing although another entry would answer."""
         self.answers = [
             httpx.ConnectError('refused'),
             httpx.Response(503, json={'outcome': 'not_run'}),
@@ -66,7 +66,7 @@
         self.assertEqual((code, len(self.requests)), (4, 1))
 
     def test_wait_survives_a_replacement_of_all_entries(self) -> None:
-        """Guards against a wait that ends with the entry it asked."""
+        """Guards against a wait that ends when its entry is replaced."""
         self.answers = [
             httpx.Response(200, json={'state': 'running'}),
             httpx.ConnectError('refused'),
@@ -79,7 +79,7 @@
         self.assertEqual(self.requests[0].url.raw_path[:14], b'/v1/jobs/j%2F1')
 
     def test_exit_codes_tell_the_outcomes_apart(self) -> None:
-        """Guards against scripts that take a failed job for a done one."""
+        """Guards against scripts that treat a failed job as done."""
         for answer, expected in (
             (httpx.Response(200, json={'state': 'failed'}), 1),
             (httpx.Response(404, json={'reason': 'unknown_job'}), 1),
@@ -93,7 +93,7 @@
                 self.assertEqual(code, expected)
 
     def test_wait_ends_at_its_timeout(self) -> None:
-        """Guards against a wait without end."""
+        """Guards against a wait that ignores its timeout."""
         self.answers = [
             httpx.Response(200, json={'state': 'queued'}) for _ in range(4)
         ]
@@ -101,7 +101,7 @@
         self.assertEqual((code, len(self.requests)), (4, 3))
 
     def test_lost_answer_is_not_settled_by_a_refusal(self) -> None:
-        """Guards against "not run" where the first entry may have acted."""
+        """Guards against reporting "not run" when an entry may have acted."""
         self.answers = [
             httpx.ReadTimeout('cut'),
             httpx.Response(503, json={'outcome': 'not_run'}),
@@ -127,12 +127,12 @@
         self.assertEqual(self._run('wait', 'j-1', *_ENTRIES)[0], 1)
 
     def test_unreachable_entries(self) -> None:
-        """Guards against a code that says the job is unknown."""
+        """Guards against exit code 4 (unknown) when nothing was sent."""
         self.answers = [httpx.ConnectError('no'), httpx.ConnectTimeout('no')]
         self.assertEqual(self._run('list', *_ENTRIES)[0], 3)
 
     def test_bad_input(self) -> None:
-        """Guards against a request for a file that is no job."""
+        """Guards against sending a request for invalid input."""
         self.file.write_text('[')
         self.assertEqual(self._run('submit', str(self.file), *_ENTRIES)[0], 2)
         self.assertEqual(self._run('list')[0], 2)
--- a/tests/programs/test_platform_path.py
+++ b/tests/programs/test_platform_path.py
@@ -1,4 +1,4 @@
-"""The whole path as real processes against the stand-in platform."""
+"""Entries and workers as real processes on the stand-in platform."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class PlatformPathTests(unittest.TestCase):
-    """Guards against jobs lost or doubled when the owner is killed."""
+    """Guards against jobs lost or run twice when the owner is killed."""
 
     def test_owner_is_killed(self) -> None:
-        """Guards against a path of which only the parts work."""
+        """Guards against faults that show only when all processes work together."""
         report = trio.run(run_demo)
         self.assertEqual(40, len(report.accepted))
         self.assertEqual({'completed': 40}, dict(report.states))
--- a/tests/programs/test_task_placement.py
+++ b/tests/programs/test_task_placement.py
@@ -1,4 +1,4 @@
-"""Placement of tasks at the own desk and at peers."""
+"""Placement of tasks on workers of this entry and of its peers."""
 
 from __future__ import annotations
 
@@ -46,17 +46,17 @@
 
 
 class _Peer:
-    """Refuses to answer and keeps what it was asked."""
+    """A peer that records the requests and never answers."""
 
     def __init__(self) -> None:
-        self.asked: list[Any] = []
+        self.received: list[Any] = []
 
     async def call(self, message: Any, *, timeout_s: float) -> Any:
-        self.asked.append(message)
+        self.received.append(message)
         raise PeerUnreachable(message=f'no answer within {timeout_s} s')
 
 
-def _ask(number: int, **changes: Any) -> ReservationRequest:
+def _request(number: int, **changes: Any) -> ReservationRequest:
     fields: dict[str, Any] = {
         'task_id': TaskId(f'0-a.{number}'),
         'fence': (1, number),
@@ -68,10 +68,10 @@
 
 
 class EntryCapacityTests(unittest.TestCase):
-    """Guards against work beyond a worker's size and leaked room."""
+    """Guards against overbooked workers and leaked reservations."""
 
     def setUp(self) -> None:
-        """Own one worker with four processors and know one peer."""
+        """Create one owned worker with four processors, and one peer."""
         worker = Worker(
             _WORKER,
             'http://127.0.0.1:1',
@@ -86,11 +86,11 @@
             grant_ttl_s=3,
             connections_per_session=5,
         )
-        self.choice = IndexedWorkerSelector(
+        self.selector = IndexedWorkerSelector(
             lambda _worker: Demand(0, 0), seed=1
         )
-        self.allocator = CapacityAllocator(self.choice.choose)
-        self.allocator.on_released = self.choice.on_released
+        self.allocator = CapacityAllocator(self.selector.choose)
+        self.allocator.on_released = self.selector.on_released
         self.allocator.ledgers[_WORKER] = self.ledger
         self.peer = _Peer()
         self.capacity = EntryCapacity(
@@ -103,70 +103,77 @@
             now=trio.current_time,
         )
 
-    def test_released_room_is_used_again(self) -> None:
-        """Guards against an index that forgets what was released."""
-        first = self._reserve(_ask(1))
+    def test_released_capacity_is_used_again(self) -> None:
+        """Guards against an index that misses a released reservation."""
+        first = self._reserve(_request(1))
         self.assertIsInstance(first, Reservation)
-        self.assertIsInstance(self._reserve(_ask(2)), NoWorkerFound)
+        self.assertIsInstance(self._reserve(_request(2)), NoWorkerFound)
         trio.run(self.capacity.release, first.reservation_id)
-        self.assertIsInstance(self._reserve(_ask(3)), Reservation)
+        self.assertIsInstance(self._reserve(_request(3)), Reservation)
 
-    def test_repeat_returns_the_same_room(self) -> None:
-        """Guards against two reservations after a lost answer."""
+    def test_repeat_returns_the_same_reservation(self) -> None:
+        """Guards against a second reservation when a request is repeated.
+
+        The job owner repeats the request after a lost answer.
+        """
         self._heartbeat()
-        asked = AttemptRequest(
+        attempt_request = AttemptRequest(
             TaskId('0-a.1'), (1, 1), Demand(3000, 1), 'wear', 1
         )
         for _ in range(2):
-            self.assertIs(self.allocator.reserve(asked, 0), self.ledger)
+            self.assertIs(
+                self.allocator.reserve(attempt_request, 0), self.ledger
+            )
         self.assertEqual(self.ledger.reservations.free.cpu_millicores, 1000)
 
     def test_report_of_the_attempt_is_its_reservation(self) -> None:
-        """Guards against a running attempt that is counted twice."""
-        ask = _ask(1)
-        self._reserve(ask)
+        """Guards against counting a reported attempt besides its reservation."""
+        request = _request(1)
+        self._reserve(request)
         report = TaskReport(
-            ask.task_id,
-            ask.fence,
+            request.task_id,
+            request.fence,
             TaskPhase.RUNNING,
             0,
-            ask.demand,
+            request.demand,
         )
         self._heartbeat(report)
         self.assertEqual(self.ledger.reservations.free.cpu_millicores, 1000)
 
     def test_release_of_a_former_owner_frees_nothing_else(self) -> None:
-        """Guards against a late release by a paused job owner."""
-        former = self._reserve(_ask(1))
-        later = self._reserve(_ask(1, fence=(2, 1), demand=Demand(1000, 1)))
+        """Guards against a late release by a former job owner that was paused."""
+        former = self._reserve(_request(1))
+        later = self._reserve(_request(1, fence=(2, 1), demand=Demand(1000, 1)))
         trio.run(self.capacity.release, former.reservation_id)
         self.assertNotEqual(former, later)
         self.assertEqual(self.ledger.reservations.free.cpu_millicores, 3000)
 
     def test_too_large_for_every_worker(self) -> None:
-        """Guards against endless asks for a job that can never run."""
-        found = self._reserve(_ask(1, demand=Demand(5000, 1)))
+        """Guards against endless requests for a task that fits no worker."""
+        found = self._reserve(_request(1, demand=Demand(5000, 1)))
         self.assertEqual(found, NoWorkerFound(Reason.NEVER_FITS))
 
     def test_silent_peer_is_not_asked_again(self) -> None:
-        """Guards against a storm of asks to a peer that does not answer."""
-        news = ttypes.Summary(free_millicores=1_000_000)
-        self.capacity.on_peer_summary(_PEER, news)
-        self._reserve(_ask(1))
+        """Guards against a flood of requests to a peer that does not answer."""
+        summary = ttypes.Summary(free_millicores=1_000_000)
+        self.capacity.on_peer_summary(_PEER, summary)
+        self._reserve(_request(1))
         for number in range(2, 5):
-            self.assertIsInstance(self._reserve(_ask(number)), NoWorkerFound)
-        self.assertEqual(len(self.peer.asked), 1)
+            self.assertIsInstance(
+                self._reserve(_request(number)), NoWorkerFound
+            )
+        self.assertEqual(len(self.peer.received), 1)
 
-    def _reserve(self, ask: ReservationRequest) -> Any:
+    def _reserve(self, request: ReservationRequest) -> Any:
         async def reserve() -> Any:
             self._heartbeat()
             self.capacity.update_own_capacity()
-            return await self.capacity.reserve(ask)
+            return await self.capacity.reserve(request)
 
         return trio.run(reserve, clock=MockClock(autojump_threshold=0))
 
     def _heartbeat(self, *reports: TaskReport) -> None:
         reply = LeaseReply(Epoch(1), False, (), reports, ())
-        beat = partial(self.ledger.record_fence, reply, 0)
-        beat()
-        self.choice.update_index(self.ledger)
+        record_reply = partial(self.ledger.record_fence, reply, 0)
+        record_reply()
+        self.selector.update_index(self.ledger)
