--- a/src/marjoramwharf/programs/_batch_path.py
+++ b/src/marjoramwharf/programs/_batch_path.py
@@ -277,9 +277,9 @@
         while True:
             await trio.sleep(_CLEANUP_INTERVAL_S)
             self._deps.capacity_manager.allocator.forget_ended()
-            for owned in self.runner.shards():
+            for shard in self.runner.shards():
                 try:
-                    await owned.forget_expired_jobs(now_ms())
+                    await shard.forget_expired_jobs(now_ms())
                 except Failure as failure:
                     _log.info(
                         'expired jobs not removed', reason=failure.reason.value
@@ -300,9 +300,9 @@
             await trio.sleep(_CHECK_INTERVAL_S)
 
     async def _reconsider_jobs(self) -> bool:
-        for owned in self.runner.shards():
+        for shard in self.runner.shards():
             try:
-                await owned.reconsider()
+                await shard.reconsider()
             except Failure as failure:
                 _log.info(
                     'impossible jobs not reconsidered',
--- a/src/marjoramwharf/programs/_check_settings.py
+++ b/src/marjoramwharf/programs/_check_settings.py
@@ -31,9 +31,9 @@
         """Print the identity, addresses and cores that the file sets."""
         settings = boot.load_place(self.check)
         sys.stdout.write(
-            f'{settings.entry_id} in {settings.data_centre}: front {settings.front}, '
-            f'peers {settings.peer_ports}, store {settings.store_address}, '
-            f'{settings.cpu_share:.2f} cores\n',
+            f'{settings.entry_id} in {settings.data_centre}: '
+            f'front {settings.front}, peers {settings.peer_ports}, '
+            f'store {settings.store_address}, {settings.cpu_share:.2f} cores\n',
         )
         return 0
 
--- a/src/marjoramwharf/programs/_ctl_notes.py
+++ b/src/marjoramwharf/programs/_ctl_notes.py
@@ -33,12 +33,12 @@
 @cappa.command(name='check')
 @dataclass
 class Check:
-    """Check a note, also against the configuration in force if entries are named."""
+    """Check a note, and with --entry also that it fits what is in force."""
 
     file: pathlib.Path
 
     def run(self, client: EntryClient, *, as_json: bool) -> ExitCode:
-        """Print that the note is valid; raises ``BadNote`` with its problems."""
+        """Print that the note is valid; raises ``BadNote`` if it isn't."""
         loaded = load_note(self.file)
         comparison = 'not compared with the configuration in force'
         if client.urls:
@@ -71,7 +71,7 @@
 @cappa.command(name='accept')
 @dataclass
 class Accept:
-    """Submit a note; submitting the same note again has no effect."""
+    """Submit a note; submitting the same note again has no further effect."""
 
     file: pathlib.Path
     based_on: Annotated[
--- a/src/marjoramwharf/programs/_gauges.py
+++ b/src/marjoramwharf/programs/_gauges.py
@@ -21,7 +21,7 @@
 from marjoramwharf.programs._service_path import ServicePath
 from marjoramwharf.service.drain import DrainGate
 
-# Values by the value of the metric's one label; '' for a metric without one.
+# Numbers by the value of the metric's one label; '' if it has no label.
 _Values: TypeAlias = Mapping[str, float]
 
 
@@ -50,7 +50,7 @@
         self._add_service()
 
     def collect(self) -> None:
-        """Set all metrics to their present values; called before each scrape."""
+        """Set all metrics to their present values, before each scrape."""
         for collect in self._collectors:
             collect()
 
--- a/src/marjoramwharf/programs/_platform.py
+++ b/src/marjoramwharf/programs/_platform.py
@@ -40,8 +40,8 @@
 class DirectoryPoller:
     """Polls the platform's list of workers into the worker table.
 
-    ``on_change`` is called after each poll, ``on_removed`` for each worker
-    that left the list.
+    ``on_change`` is called after each successful poll, ``on_removed`` for each
+    worker that left the list.
     """
 
     client: DirectoryClient
--- a/src/marjoramwharf/programs/_service_path.py
+++ b/src/marjoramwharf/programs/_service_path.py
@@ -82,7 +82,10 @@
         deps.capacity_manager.on_refilled = self._on_refilled
 
     async def run(self) -> None:
-        """Settle calls with unknown outcome and serve the queues until cancelled."""
+        """Settle calls in doubt and serve the queues until cancelled.
+
+        A call is in doubt while its outcome at the worker is unknown.
+        """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.settlement.run)
             nursery.start_soon(self._deps.claims.run)
--- a/src/marjoramwharf/programs/_task_placement.py
+++ b/src/marjoramwharf/programs/_task_placement.py
@@ -132,7 +132,7 @@
         rng: random.Random,
         now: Callable[[], float],
     ) -> None:
-        """Start with no figures of the free processors of any entry."""
+        """Start without the free processors of this entry and its peers."""
         self._entry_id = entry_id
         self._allocator = allocator
         self._peers = peers
--- a/src/marjoramwharf/programs/_task_reports.py
+++ b/src/marjoramwharf/programs/_task_reports.py
@@ -62,11 +62,11 @@
         self._latest: dict[WorkerId, LeaseReply] = {}
         # Ends that a job owner has acknowledged, with the epoch of its shard:
         # the owner of a later epoch must get them again.
-        self._passed_on: dict[WorkerId, dict[TaskReport, Epoch]] = {}
+        self._acknowledged_ends: dict[WorkerId, dict[TaskReport, Epoch]] = {}
         self._unsent: defaultdict[EntryId, set[WorkerId]] = defaultdict(set)
         self._queues: dict[WorkerId, _Queue] = {}
         self._busy_owners: set[EntryId] = set()
-        self._has_new_ends = trio.Event()
+        self._new_ends_event = trio.Event()
 
     async def run(
         self,
@@ -79,21 +79,24 @@
             task_status.started()
             while True:
                 with trio.move_on_after(_SEND_INTERVAL_S):
-                    await self._has_new_ends.wait()
+                    await self._new_ends_event.wait()
                     await trio.sleep(_BATCH_DELAY_S)
-                self._has_new_ends = trio.Event()
+                self._new_ends_event = trio.Event()
                 self._send_all(nursery)
 
     def on_lease(self, worker_id: WorkerId, reply: LeaseReply) -> None:
-        """Queue the heartbeat reply of an owned worker for all job owners."""
+        """Handle the heartbeat reply of an owned worker.
+
+        Its reports are queued for the own job shards and for other owners.
+        """
         self._on_worker_seen(worker_id)
         self._latest[worker_id] = reply
         self._enqueue(worker_id, reply, None)
-        passed_on = self._passed_on.setdefault(worker_id, {})
+        acknowledged = self._acknowledged_ends.setdefault(worker_id, {})
         current = set(reply.tasks)
-        self._passed_on[worker_id] = {
+        self._acknowledged_ends[worker_id] = {
             report: epoch
-            for report, epoch in passed_on.items()
+            for report, epoch in acknowledged.items()
             if report in current
         }
         records = self._records()
@@ -101,10 +104,10 @@
         for owner in owners - {self._entry_id, EntryId('')}:
             self._unsent[owner].add(worker_id)
         if any(
-            self._is_unreported_end(passed_on, records, report)
+            self._is_unacknowledged_end(acknowledged, records, report)
             for report in reply.tasks
         ):
-            self._has_new_ends.set()
+            self._new_ends_event.set()
 
     async def on_peer_reports(
         self,
@@ -152,18 +155,18 @@
                 queue.popleft()
         self._queues.pop(worker_id)
 
-    def _is_unreported_end(
+    def _is_unacknowledged_end(
         self,
-        passed_on: Mapping[TaskReport, Epoch],
+        acknowledged: Mapping[TaskReport, Epoch],
         records: Mapping[ShardId, OwnerRecord],
         report: TaskReport,
     ) -> bool:
-        """Tell whether a report is an end not yet forwarded to its owner."""
+        """Tell whether a report is an end that its owner must still get."""
         record = _find_record(records, report)
         if record is None or record.owner == self._entry_id:
             return False
-        is_passed_on = passed_on.get(report) == record.epoch
-        return report.phase not in RUNNING_PHASES and not is_passed_on
+        is_acknowledged = acknowledged.get(report) == record.epoch
+        return report.phase not in RUNNING_PHASES and not is_acknowledged
 
     def _send_all(self, nursery: trio.Nursery) -> None:
         peers = self._peers()
@@ -206,25 +209,25 @@
             return
         self._busy_owners.discard(owner)
         for sender, sent in reports_by_worker.items():
-            passed_on = self._passed_on.setdefault(sender, {})
+            acknowledged = self._acknowledged_ends.setdefault(sender, {})
             for report in sent:
                 record = _find_record(records, report)
                 if record is not None and report.phase not in RUNNING_PHASES:
-                    passed_on[report] = record.epoch
+                    acknowledged[report] = record.epoch
 
     def _reports_for_owner(
         self,
         worker_id: WorkerId,
         records: Mapping[ShardId, OwnerRecord],
     ) -> list[TaskReport]:
-        passed_on = self._passed_on.get(worker_id, {})
+        acknowledged = self._acknowledged_ends.get(worker_id, {})
         return [
             report
             for report in self._latest[worker_id].tasks
             if _find_record(records, report) is not None
             and (
                 report.phase in RUNNING_PHASES
-                or self._is_unreported_end(passed_on, records, report)
+                or self._is_unacknowledged_end(acknowledged, records, report)
             )
         ]
 
--- a/src/marjoramwharf/programs/ctl.py
+++ b/src/marjoramwharf/programs/ctl.py
@@ -31,8 +31,8 @@
     run_command,
 )
 from marjoramwharf.programs._ctl_notes import (
-    Note,
     EntryRefused,
+    Note,
     worst_exit_code,
 )
 from marjoramwharf.programs._output import (
--- a/src/marjoramwharf/programs/entry.py
+++ b/src/marjoramwharf/programs/entry.py
@@ -46,8 +46,8 @@
 from marjoramwharf.programs._gauges import GaugeDependencies, Gauges
 from marjoramwharf.programs._job_shards import PREFIX as JOB_PREFIX
 from marjoramwharf.programs._platform import (
-    DirectoryPoller,
     CapacityShards,
+    DirectoryPoller,
     incarnation_lookup,
 )
 from marjoramwharf.programs._service_path import (
--- a/src/marjoramwharf/programs/explain.py
+++ b/src/marjoramwharf/programs/explain.py
@@ -1,4 +1,4 @@
-"""``marjoramwharf-explain``: a timeline of one job from the logs of all entries.
+"""``marjoramwharf-explain``: the timeline of one job from logs of all entries.
 
     marjoramwharf-explain 5c0e7a21d94b36f8 entry-*.log
 
--- a/src/marjoramwharf/programs/job.py
+++ b/src/marjoramwharf/programs/job.py
@@ -48,7 +48,8 @@
 
 _RETRY_S = 1
 
-# An impossible job may wait for larger workers forever, so the command ends.
+# An impossible job waits for larger workers, which may never join; the wait
+# command doesn't wait for those.
 _FINAL_STATES = frozenset(('done', 'failed', 'cancelled', 'impossible'))
 
 
--- a/src/marjoramwharf/programs/platform_entry.py
+++ b/src/marjoramwharf/programs/platform_entry.py
@@ -85,7 +85,7 @@
 _HOLD_LEASE_SHARE = 0.65
 
 # For how long an owner whose own lease has expired still extends those of runs.
-_HOLD_AFTER_LAPSE_S = 1.2
+_HOLD_AFTER_EXPIRY_S = 1.2
 
 # How long a watch request waits for a change. A silent connection is noticed
 # one second after that, and a configuration must be in force within 2 s.
@@ -93,7 +93,7 @@
 _OWNERS_WAIT_MS = 2_000
 
 # The platform stops sending connections after two readiness checks, 1 s apart.
-_READINESS_GAP_S = 2.2
+_READINESS_DELAY_S = 2.2
 _STOP_MARGIN_S = 1.0
 
 
@@ -202,7 +202,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until SIGTERM."""
+        """Serve until SIGTERM or SIGINT."""
         settings = self.settings
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
@@ -221,7 +221,7 @@
             nursery.start_soon(self.relay.run)
             nursery.start_soon(self.directory.run)
             nursery.start_soon(self.owner_link.run)
-            # Peers treat an owner that doesn't listen as ended, so listen first.
+            # Listen first: peers treat an owner that doesn't listen as ended.
             await self._listen(nursery)
             nursery.start_soon(self.campaign.run)
             _LOG.info(
@@ -242,7 +242,7 @@
                 guard=tenure.guard,
                 is_current=lambda: tenure.is_current(boot_s()),
                 may_extend_leases=lambda: tenure.is_current(
-                    boot_s() - _HOLD_AFTER_LAPSE_S,
+                    boot_s() - _HOLD_AFTER_EXPIRY_S,
                 ),
                 give_up=tenure.scope.cancel,
             ),
@@ -347,7 +347,7 @@
             if self.cell is not None:
                 await self.cell.hand_over()
         await self.campaign.withdraw()
-        await trio.sleep(min(_READINESS_GAP_S, grace_s / 2))
+        await trio.sleep(min(_READINESS_DELAY_S, grace_s / 2))
         self.api_server.drain()
         while self.api_server.busy_count and trio.current_time() < deadline_s:
             await trio.sleep(0.02)
--- a/tests/programs/test_cells.py
+++ b/tests/programs/test_cells.py
@@ -32,7 +32,7 @@
     """Guards against tables that differ from what is stored."""
 
     def test_tables(self) -> None:
-        """Guards against jobs counted twice or left out, and a printed secret."""
+        """Guards against jobs counted twice or left out and printed secrets."""
         trio.run(self._check_tables)
 
     async def _check_tables(self) -> None:
--- a/tests/programs/test_ctl.py
+++ b/tests/programs/test_ctl.py
@@ -138,7 +138,7 @@
         self.assertEqual(self._run('status', *_ENTRIES)[0], 3)
 
     def test_status_of_an_entry_that_refuses(self) -> None:
-        """Guards against an HTML error page printed as the state of an entry."""
+        """Guards against an HTML error page as the state of an entry."""
         code, out, errors = self._run('status', *_ENTRIES)
         self.assertEqual(code, 1)
         self.assertRegex(out, '10.0.0.2:80 +refused')
--- a/tests/programs/test_task_placement.py
+++ b/tests/programs/test_task_placement.py
@@ -127,7 +127,7 @@
         self.assertEqual(self.ledger.reservations.free.cpu_millicores, 1000)
 
     def test_report_of_the_attempt_is_its_reservation(self) -> None:
-        """Guards against counting a reported attempt besides its reservation."""
+        """Guards against counting a reported attempt and its reservation."""
         request = _request(1)
         self._reserve(request)
         report = TaskReport(
@@ -141,7 +141,7 @@
         self.assertEqual(self.ledger.reservations.free.cpu_millicores, 1000)
 
     def test_release_of_a_former_owner_frees_nothing_else(self) -> None:
-        """Guards against a late release by a former job owner that was paused."""
+        """Guards against a late release by a former, paused job owner."""
         former = self._reserve(_request(1))
         later = self._reserve(_request(1, fence=(2, 1), demand=Demand(1000, 1)))
         trio.run(self.capacity.release, former.reservation_id)
