--- a/src/marjoramwharf/programs/_cell_metrics.py
+++ b/src/marjoramwharf/programs/_cell_metrics.py
@@ -1,7 +1,8 @@
 """The metrics of an entry on the platform, in the text format of Prometheus.
 
-The library takes half a second of processor time to import, which an entry
-can't spare at its start; it is imported in a thread at the first request.
+Importing the metrics library takes half a second of processor time, which an
+entry can't spare at its start. So it is imported in a thread at the first
+request.
 """
 
 from __future__ import annotations
@@ -26,15 +27,15 @@
 
 @dataclass(slots=True)
 class CellMetrics:
-    """Answers requests for the metrics.
+    """Serves the metrics page.
 
-    ``cell`` returns the cell that this entry owns, if any.
+    ``get_cell`` returns the cell that this entry owns, if any.
     """
 
     counters: CellCounters
     client: HttpClient
     output: BoundedOutput | None
-    cell: Callable[[], Cell | None]
+    get_cell: Callable[[], Cell | None]
     _page: Any = None
     _lock: trio.Lock = field(default_factory=trio.Lock)
 
@@ -44,17 +45,17 @@
             return HttpResponse(_NOT_FOUND)
         async with self._lock:
             if self._page is None:
-                self._page = await trio.to_thread.run_sync(_Page)
+                self._page = await trio.to_thread.run_sync(_MetricsPage)
             text: bytes = self._page.render(self._values(), self._samples())
         return HttpResponse(200, text, content_type='text/plain; version=0.0.4')
 
     def _values(self) -> Mapping[str, Mapping[str, float]]:
-        """Return totals by metric and label; '' for a metric without one."""
+        """Return values by metric and label value ('' if it has no label)."""
         counters = self.counters
         return {
-            'submissions_total': _by_value(counters.submissions),
-            'starts_total': _by_value(counters.starts),
-            'run_ends_total': _by_value(counters.ends),
+            'submissions_total': _count_by_value(counters.submissions),
+            'starts_total': _count_by_value(counters.starts),
+            'run_ends_total': _count_by_value(counters.ends),
             'finished_jobs_total': {
                 phase.name.lower(): count
                 for phase, count in counters.finished_jobs.items()
@@ -72,7 +73,7 @@
         }
 
     def _cell_values(self) -> Mapping[str, Mapping[str, float]]:
-        cell = self.cell()
+        cell = self.get_cell()
         if cell is None:
             return {'owns_cell': {'': 0}}
         workers = cell.worker_registry.fleet.workers.values()
@@ -96,24 +97,24 @@
         }
 
 
-class _Page:
-    """The registry of the metrics library."""
+class _MetricsPage:
+    """The metrics page, rendered by the metrics library."""
 
     def __init__(self) -> None:
-        """Import the library; slow, so it is done in a thread."""
+        """Import the library; slow, so call it in a thread."""
         from aioprometheus import collectors, formats
 
         self._collectors = collectors
         self._registry = collectors.Registry()
         self._formatter = formats.text.TextFormatter()
-        self._known: dict[str, Any] = {}
+        self._metrics: dict[str, Any] = {}
 
     def render(
         self,
         totals: Mapping[str, Mapping[str, float]],
         samples: Mapping[str, deque[float]],
     ) -> bytes:
-        """Return the page; samples are taken out of their queues."""
+        """Return the page; the samples are removed from their queues."""
         for name, by_label in totals.items():
             metric = self._metric(name, self._collectors.Gauge)
             for label, count in by_label.items():
@@ -125,17 +126,17 @@
         return bytes(self._formatter.marshall(self._registry))
 
     def _metric(self, name: str, kind: Any) -> Any:
-        if name not in self._known:
+        if name not in self._metrics:
             options: dict[str, Any] = {'registry': self._registry}
             if kind is self._collectors.Histogram:
                 options['buckets'] = list(_BUCKETS_S)
-            self._known[name] = kind(
+            self._metrics[name] = kind(
                 _PREFIX + name,
                 name.replace('_', ' '),
                 **options,
             )
-        return self._known[name]
+        return self._metrics[name]
 
 
-def _by_value(counts: Mapping[Any, int]) -> dict[str, float]:
+def _count_by_value(counts: Mapping[Any, int]) -> dict[str, float]:
     return {member.value: count for member, count in counts.items()}
--- a/src/marjoramwharf/programs/_class_usage.py
+++ b/src/marjoramwharf/programs/_class_usage.py
@@ -19,18 +19,18 @@
     WorkerAgent,
 )
 
-# Bounds the calls, since every report costs the worker a moment.
+# Limits the calls, since every report costs the worker some time.
 _POLLS_PER_S = 4
 _MS_PER_S = 1_000
-_NOTHING = Demand(0, 0)
+_NO_DEMAND = Demand(0, 0)
 
 
-class ClassUsageFollower:
-    """Polls the owned workers in turns.
+class ClassUsagePoller:
+    """Polls the usage of the owned workers in turn.
 
-    Only the attempts that were reserved at this desk count, since only their
-    declared sizes are known. A report is used for a class if all of the
-    worker's attempts are known and ran when the report was taken.
+    Only the declared sizes of attempts reserved in this entry's allocator are
+    available here. So a report is used only if all of the worker's attempts
+    were reserved here and were running when the report was taken.
     """
 
     def __init__(
@@ -41,21 +41,21 @@
         clock: Callable[[], float],
     ) -> None:
         """Start without observations."""
-        self.estimates = SizeEstimator()
+        self.estimator = SizeEstimator()
         self._allocator = allocator
         self._get_agent = get_agent
         self._clock = clock
 
     def correct(self, task_class: str, declared: Demand) -> Demand:
         """Return the size to reserve for a task."""
-        return self.estimates.correct(
+        return self.estimator.correct(
             task_class,
             declared,
             now_s=self._clock(),
         )
 
     async def run(self) -> None:
-        """Poll until cancelled."""
+        """Poll the workers until cancelled."""
         while True:
             for worker_id in tuple(self._allocator.ledgers):
                 await self._poll(worker_id)
@@ -74,47 +74,53 @@
         self.observe(ledger, report)
 
     def observe(self, ledger: WorkerLedger, report: UsageReport) -> None:
-        """Compare a report with the declared sizes of what runs."""
+        """Compare the reported usage of each class with its declared size."""
         now_s = self._clock()
         taken_at_s = now_s - report.age_ms / _MS_PER_S
-        running = self._running(ledger, taken_at_s)
+        running = self._get_declared_sizes(ledger, taken_at_s)
         if running is None:
             return
-        for name, used in _used(report.classes):
+        for name, used in _sum_by_class(report.classes):
             declared = running.get(name)
             if declared is not None:
-                self.estimates.observe(name, declared, used, now_s=now_s)
+                self.estimator.observe(name, declared, used, now_s=now_s)
 
-    def _running(
+    def _get_declared_sizes(
         self,
         ledger: WorkerLedger,
         taken_at_s: float,
     ) -> dict[str, Demand] | None:
-        """Return the declared sizes by class, ``None`` if one is unknown."""
+        """Return the total declared size of each class.
+
+        Returns ``None`` if an attempt was not reserved here or had not been
+        reported running when the usage was measured.
+        """
         declared: dict[str, Demand] = {}
         for attempt in ledger.reservations.demands():
-            placement = self._allocator.request_of(attempt)
+            request = self._allocator.request_of(attempt)
             seen_at_s = ledger.reservations.seen_at_s(*attempt)
             is_usable = seen_at_s is not None and seen_at_s <= taken_at_s
-            if placement is None or not is_usable:
+            if request is None or not is_usable:
                 return None
-            size = placement.declared or placement.demand
-            name = placement.task_class
-            declared[name] = _plus(declared.get(name, _NOTHING), size)
+            size = request.declared or request.demand
+            name = request.task_class
+            declared[name] = _add_demands(declared.get(name, _NO_DEMAND), size)
         return declared
 
 
-def _used(classes: tuple[ClassUsage, ...]) -> Iterator[tuple[str, Demand]]:
-    found: defaultdict[str, Demand] = defaultdict(lambda: _NOTHING)
+def _sum_by_class(
+    classes: tuple[ClassUsage, ...],
+) -> Iterator[tuple[str, Demand]]:
+    total_by_class: defaultdict[str, Demand] = defaultdict(lambda: _NO_DEMAND)
     for usage in classes:
-        found[usage.class_name] = _plus(
-            found[usage.class_name],
+        total_by_class[usage.class_name] = _add_demands(
+            total_by_class[usage.class_name],
             Demand(int(usage.cpu_millicores), int(usage.memory_mb)),
         )
-    yield from found.items()
+    yield from total_by_class.items()
 
 
-def _plus(left: Demand, right: Demand) -> Demand:
+def _add_demands(left: Demand, right: Demand) -> Demand:
     return Demand(
         left.cpu_millicores + right.cpu_millicores,
         left.memory_mb + right.memory_mb,
--- a/src/marjoramwharf/programs/_job_routing.py
+++ b/src/marjoramwharf/programs/_job_router.py
@@ -1,4 +1,4 @@
-"""Passes job calls to the owners of their shards."""
+"""Routes job calls to the owners of their shards."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from marjoramwharf.links.thrift_types.peer import ttypes
 from marjoramwharf.service.drain import DrainGate
 
-# A commit takes at most 5 s, then its outcome is reported as unknown.
+# A commit takes at most 5 s; after that, its outcome is reported as unknown.
 _CALL_TIMEOUT_S = 8.0
-# A peer serves 64 calls of one connection at once. Above this number of
-# waiting calls, further ones get the present state instead.
-_WAITING_COUNT = 24
+# A peer serves 64 calls of one connection at once. When this many calls wait
+# for a state change, further ones return the present state at once.
+_MAX_WAITING_CALLS_COUNT = 24
 _RETRY_AFTER_S = 1.0
 
 _MS_PER_S = 1_000
 
 
-class JobRouting:
-    """Serves job calls here or at the peer that the ownership record names."""
+class JobRouter:
+    """Serves a job call here or at the peer that owns its shard."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         peers: Callable[[], Mapping[EntryId, PeerCaller]],
         gate: DrainGate,
     ) -> None:
-        """Keep the parts."""
+        """Store the collaborators; no call is served yet."""
         self._runner = runner
         self._owner_of = owner_of
         self._peers = peers
@@ -46,24 +46,24 @@
         self._waiting_count = 0
 
     async def route(self, shard: ShardId, method: str, body: bytes) -> Answer:
-        """Pass a job call to the owner of its shard."""
+        """Serve a job call here, or send it to the owner of its shard."""
         with self._gate.track_request():
             owned = self._runner.shard(shard)
             if owned is not None:
                 return await answer_job_call(owned, body, now_ms())
-            return await self._ask_owner(shard, method, body)
+            return await self._call_owner(shard, method, body)
 
     async def on_job_call(
         self,
         _sender: PeerIdentity,
-        asked: Message,
+        call: Message,
     ) -> Message:
-        """Serve a call that a peer has passed on."""
-        owned = self._runner.shard(ShardId(asked.shard))
-        status, body = await answer_job_call(owned, asked.body, now_ms())
+        """Serve a job call that a peer has forwarded."""
+        owned = self._runner.shard(ShardId(call.shard))
+        status, body = await answer_job_call(owned, call.body, now_ms())
         return ttypes.JobReply(status=status, body=body)
 
-    async def _ask_owner(
+    async def _call_owner(
         self,
         shard: ShardId,
         method: str,
@@ -78,17 +78,17 @@
                 message='the owner of the shard is not reachable',
                 retry_after_s=_RETRY_AFTER_S,
             )
-        wait_s = _wait_of(method, body)
-        if wait_s and self._waiting_count >= _WAITING_COUNT:
-            return await _call(peer, shard, method, _without_wait(body), 0)
+        wait_s = _get_wait_s(method, body)
+        if wait_s and self._waiting_count >= _MAX_WAITING_CALLS_COUNT:
+            return await _send_call(peer, shard, method, _without_wait(body), 0)
         self._waiting_count += bool(wait_s)
         try:
-            return await _call(peer, shard, method, body, wait_s)
+            return await _send_call(peer, shard, method, body, wait_s)
         finally:
             self._waiting_count -= bool(wait_s)
 
 
-async def _call(
+async def _send_call(
     peer: PeerCaller,
     shard: ShardId,
     method: str,
@@ -102,7 +102,7 @@
     return reply.status, reply.body
 
 
-def _wait_of(method: str, body: bytes) -> float:
+def _get_wait_s(method: str, body: bytes) -> float:
     if method != 'status':
         return 0
     return float(json.decode(body).get('wait_s', 0))
@@ -113,5 +113,5 @@
 
 
 def now_ms() -> int:
-    """Return Unix time."""
+    """Return the Unix time in milliseconds."""
     return int(time.time() * _MS_PER_S)
--- a/src/marjoramwharf/programs/_platform.py
+++ b/src/marjoramwharf/programs/_platform.py
@@ -1,4 +1,4 @@
-"""Tasks that follow the platform: the list, the members and the shards."""
+"""Background tasks that track the list of workers and the capacity shards."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from marjoramwharf.machines.worker_table import WorkerTable
 from marjoramwharf.settings import CapacitySettings
 
-# Bounds how late a lost or free shard is noticed when no member changes.
+# Limits how late a lost or free shard is noticed when no member changes.
 _REFRESH_S = 2
-# Balances the entries after a start without moving much at a time.
-_MOVED_AT_ONCE_COUNT = 1
+# Balances the shards after an entry starts without moving many at a time.
+_MAX_MOVED_AT_ONCE_COUNT = 1
 
 _log = part_logger('platform')
 
 
-def known_incarnations(
+def incarnation_lookup(
     view: MemberView,
 ) -> Callable[[], Mapping[EntryId, Incarnation]]:
-    """Return a function that maps each known entry to its incarnation."""
+    """Return a function that returns the incarnations of all known entries."""
 
     def members() -> Mapping[EntryId, Incarnation]:
         return {member.entry_id: member.incarnation for member in view.known()}
@@ -37,21 +37,25 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ListFollower:
-    """Polls the platform's list into the roster."""
+class DirectoryPoller:
+    """Polls the platform's list of workers into the worker table.
+
+    ``on_change`` is called after each successful poll, ``on_removed`` for each
+    worker that left the list.
+    """
 
     client: DirectoryClient
     worker_table: WorkerTable
     poll_s: float
     on_change: Callable[[], None]
-    on_gone: Callable[[str], None]
+    on_removed: Callable[[str], None]
 
     async def run(
         self,
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Poll until cancelled; reports started after the first list."""
+        """Poll until cancelled; reports started after the first success."""
         is_started = False
         while True:
             if await self._poll() and not is_started:
@@ -63,18 +67,18 @@
         try:
             listing = await self.client.fetch()
         except (DirectoryUnavailable, BadListing) as failure:
-            _log.warning('list not read', cause=failure.message)
+            _log.warning('list of workers not read', cause=failure.message)
             return False
         change = self.worker_table.apply(listing)
         self.on_change()
         for worker_id in change.removed:
-            self.on_gone(worker_id)
+            self.on_removed(worker_id)
         return True
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ShardFollower:
-    """Takes capacity shards and owns their workers."""
+class CapacityShards:
+    """Acquires capacity shards, owns their workers and hands shards over."""
 
     ownership: Ownership
     view: MemberView
@@ -84,7 +88,7 @@
     clock: Callable[[], float]
 
     async def run(self) -> None:
-        """Follow the members and the records until cancelled."""
+        """Own the shards that this entry should own until cancelled."""
         while True:
             await self.ownership.refresh()
             await self.assign()
@@ -97,22 +101,22 @@
         listed = {
             worker.worker_id: worker for worker in self.worker_table.known()
         }
-        waiting = assign_workers(
+        outdated_shards = assign_workers(
             self.capacity_manager,
             listed,
             self.ownership.owned,
             self.settings,
             self.clock(),
         )
-        for shard in waiting:
+        for shard in outdated_shards:
             await self.ownership.advance_epoch(shard)
 
     async def hand_over_all(self) -> None:
-        """Free all shards on a planned stop."""
+        """Release all shards on a planned stop."""
         for shard in tuple(self.ownership.owned):
             await self.ownership.hand_over(shard)
 
     async def _hand_over_misplaced(self) -> None:
-        for shard in self.ownership.misplaced()[:_MOVED_AT_ONCE_COUNT]:
+        for shard in self.ownership.misplaced()[:_MAX_MOVED_AT_ONCE_COUNT]:
             await self.ownership.hand_over(shard)
             await self.assign()
--- a/src/marjoramwharf/programs/explain.py
+++ b/src/marjoramwharf/programs/explain.py
@@ -1,10 +1,10 @@
-"""``marjoramwharf-explain``: the story of one job from the logs of all entries.
+"""``marjoramwharf-explain``: the timeline of one job from logs of all entries.
 
     marjoramwharf-explain 5c0e7a21d94b36f8 entry-*.log
 
-Lines that name the job, one of its tasks, or a worker or owner at the time of
-one of its runs are printed in order of time. Lines that can't be read are
-counted, not dropped silently.
+Printed in order of time are the lines that name the job or one of its tasks.
+Between the first and the last of them, changes of the job's workers, of owners
+and of the store are printed too. Unreadable lines are counted and reported.
 """
 
 from __future__ import annotations
@@ -50,53 +50,55 @@
 
     @property
     def time(self) -> str:
-        """The time of day, in a form that sorts."""
+        """The timestamp as text that sorts in order of time."""
         return str(self.fields.get(_TIME, ''))
 
     @property
     def event(self) -> str:
-        """What happened."""
+        """The event text, with the prefix of the logging component."""
         return str(self.fields.get(_EVENT, ''))
 
 
 @dataclass
-class Story:
-    """The lines of one job."""
+class JobTimeline:
+    """The log lines that explain one job."""
 
     lines: list[LogLine] = field(default_factory=list)
     unreadable_count: int = 0
 
 
-def find_story(job_id: str, sources: Mapping[str, Iterable[str]]) -> Story:
-    """Return the lines of a job, with what happened around them."""
-    story = Story()
-    found = sorted(
-        _read(sources, story),
+def build_timeline(
+    job_id: str, sources: Mapping[str, Iterable[str]]
+) -> JobTimeline:
+    """Return the lines of a job and the context events between them."""
+    timeline = JobTimeline()
+    all_lines = sorted(
+        _parse_lines(sources, timeline),
         key=lambda line: (line.time, line.source),
     )
-    named = [line for line in found if _names(line, job_id)]
-    if not named:
-        return story
+    job_lines = [line for line in all_lines if _names_job(line, job_id)]
+    if not job_lines:
+        return timeline
     workers = {
         str(worker)
-        for line in named
+        for line in job_lines
         for worker in (
             line.fields.get('worker'),
             *line.fields.get('workers', ()),
         )
     }
-    first, last = named[0].time, named[-1].time
-    story.lines = [
+    first, last = job_lines[0].time, job_lines[-1].time
+    timeline.lines = [
         line
-        for line in found
-        if _names(line, job_id)
+        for line in all_lines
+        if _names_job(line, job_id)
         or (first <= line.time <= last and _is_context(line, workers))
     ]
-    return story
+    return timeline
 
 
 def describe(line: LogLine) -> str:
-    """Return a line for people."""
+    """Format a log line for people."""
     details = ' '.join(
         f'{name}={content}'
         for name, content in line.fields.items()
@@ -105,9 +107,9 @@
     return f'{line.time} {line.source}: {line.event} {details}'
 
 
-def _read(
+def _parse_lines(
     sources: Mapping[str, Iterable[str]],
-    story: Story,
+    timeline: JobTimeline,
 ) -> Iterator[LogLine]:
     for source, lines in sources.items():
         for text in lines:
@@ -115,12 +117,12 @@
             try:
                 fields = decode_json(text[max(0, start) :], dict[str, Any])
             except DecodeError:
-                story.unreadable_count += bool(text.strip())
+                timeline.unreadable_count += bool(text.strip())
                 continue
             yield LogLine(source, fields)
 
 
-def _names(line: LogLine, job_id: str) -> bool:
+def _names_job(line: LogLine, job_id: str) -> bool:
     job = str(line.fields.get('job', ''))
     task = str(line.fields.get('task', ''))
     return job == job_id or task.partition('.')[0] == job_id
@@ -138,7 +140,7 @@
 @cappa.command(name='marjoramwharf-explain')
 @dataclass
 class Explain:
-    """Print the story of a job from log files, or from standard input."""
+    """Print a timeline of one job from log files or standard input."""
 
     job_id: Annotated[str, cappa.Arg(help='Id of the job.')]
     files: Annotated[
@@ -147,14 +149,16 @@
     ]
 
     def run(self) -> int:
-        """Print the lines; 1 if the job is not named in any."""
+        """Print the lines; returns 1 if none of them names the job."""
         sources = self._sources()
-        story = find_story(self.job_id, sources)
-        for line in story.lines:
+        timeline = build_timeline(self.job_id, sources)
+        for line in timeline.lines:
             sys.stdout.write(f'{describe(line)}\n')
-        if story.unreadable_count:
-            sys.stderr.write(f'{story.unreadable_count} lines not readable\n')
-        return 0 if story.lines else 1
+        if timeline.unreadable_count:
+            sys.stderr.write(
+                f'{timeline.unreadable_count} lines not readable\n'
+            )
+        return 0 if timeline.lines else 1
 
     def _sources(self) -> Mapping[str, Iterable[str]]:
         if not self.files:
--- a/src/marjoramwharf/programs/job.py
+++ b/src/marjoramwharf/programs/job.py
@@ -20,7 +20,7 @@
 from marjoramwharf.errors import EntryUnreachable
 from marjoramwharf.ids import random_id
 from marjoramwharf.programs._client import (
-    Entries,
+    EntryClient,
     ExitCode,
     Reply,
     entry_urls,
@@ -43,18 +43,19 @@
 
 TEAM_VARIABLE = 'MARJORAMWHARF_TEAM'
 
-# An entry holds a waiting call for at most this long.
-_WAIT_S = 10
+# An entry delays its response to a waiting call for at most this long.
+_MAX_WAIT_S = 10
 
 _RETRY_S = 1
 
-# An impossible job waits for larger workers; nobody else waits for those.
-_ENDED = frozenset(('done', 'failed', 'cancelled', 'impossible'))
+# An impossible job waits for larger workers, which may never join; the wait
+# command doesn't wait for those.
+_FINAL_STATES = frozenset(('done', 'failed', 'cancelled', 'impossible'))
 
 
 @dataclass(frozen=True, slots=True)
 class Clock:
-    """The time, in monotonic seconds, and a way to wait."""
+    """A monotonic clock in seconds and a sleep function, replaced in tests."""
 
     now_s: Callable[[], float] = time.monotonic
     sleep: Callable[[float], None] = time.sleep
@@ -75,11 +76,11 @@
         ),
     ] = field(default_factory=random_id)
 
-    def run(self, entries: Entries, _clock: Clock, *, as_json: bool) -> int:
-        """Print the id of the job."""
+    def run(self, client: EntryClient, _clock: Clock, *, as_json: bool) -> int:
+        """Print the id of the job, or the key for a repeat."""
         body = read_object(self.file)
         try:
-            reply = entries.ask_any(
+            reply = client.send_to_any(
                 'POST',
                 '/v1/jobs',
                 is_repeatable=False,
@@ -106,37 +107,37 @@
 
     job_id: str
 
-    def run(self, entries: Entries, _clock: Clock, *, as_json: bool) -> int:
+    def run(self, client: EntryClient, _clock: Clock, *, as_json: bool) -> int:
         """Print the state."""
-        return _print_job(_read(entries, self.job_id, 0), as_json=as_json)
+        return _print_job(_fetch_job(client, self.job_id, 0), as_json=as_json)
 
 
 @cappa.command(name='wait')
 @dataclass
 class Wait:
-    """Wait until a job has ended; refused (1) if it did not succeed."""
+    """Wait until a job has ended; exit code 1 if it did not succeed."""
 
     job_id: str
     timeout_s: Annotated[float, cappa.Arg(long=True)] = 3600
 
-    def run(self, entries: Entries, clock: Clock, *, as_json: bool) -> int:
-        """Print the final state; unknown (4) after the timeout."""
+    def run(self, client: EntryClient, clock: Clock, *, as_json: bool) -> int:
+        """Print the final state; returns 4 (unknown) after the timeout."""
         deadline_s = clock.now_s() + self.timeout_s
         while True:
-            left_s = max(deadline_s - clock.now_s(), 0)
-            reply = self._poll(entries, min(left_s, _WAIT_S))
+            remaining_s = max(deadline_s - clock.now_s(), 0)
+            reply = self._poll(client, min(remaining_s, _MAX_WAIT_S))
             if reply is not None:
                 return _final_code(reply, as_json=as_json)
             if clock.now_s() >= deadline_s:
                 print_error(f'not ended after {self.timeout_s} s')
                 return ExitCode.UNKNOWN
-            # Entries may answer a waiting call early.
+            # An entry may answer a waiting call before the wait is over.
             clock.sleep(_RETRY_S)
 
-    def _poll(self, entries: Entries, wait_s: float) -> Reply | None:
-        # All entries may be replaced while a job runs.
+    def _poll(self, client: EntryClient, wait_s: float) -> Reply | None:
+        # All entries may be replaced while a job runs, so keep polling.
         try:
-            reply = _read(entries, self.job_id, wait_s)
+            reply = _fetch_job(client, self.job_id, wait_s)
         except EntryUnreachable as failure:
             print_error(failure.message)
             return None
@@ -146,14 +147,14 @@
 @cappa.command(name='cancel')
 @dataclass
 class Cancel:
-    """Cancel a job; a repeat has no further effect."""
+    """Cancel a job; cancelling it again has no effect."""
 
     job_id: str
 
-    def run(self, entries: Entries, _clock: Clock, *, as_json: bool) -> int:
+    def run(self, client: EntryClient, _clock: Clock, *, as_json: bool) -> int:
         """Print the state."""
-        path = f'{_path(self.job_id)}/cancel'
-        return _print_job(entries.ask_any('POST', path), as_json=as_json)
+        path = f'{_job_path(self.job_id)}/cancel'
+        return _print_job(client.send_to_any('POST', path), as_json=as_json)
 
 
 @cappa.command(name='list')
@@ -167,14 +168,14 @@
     ] = ''
     limit: Annotated[int, cappa.Arg(long=True)] = 100
 
-    def run(self, entries: Entries, _clock: Clock, *, as_json: bool) -> int:
-        """Print a row for each job; unknown (4) if some did not answer."""
+    def run(self, client: EntryClient, _clock: Clock, *, as_json: bool) -> int:
+        """Print a row for each job; returns 4 if some shards did not answer."""
         query = {'limit': str(self.limit)}
-        if entries.team:
-            query['team'] = entries.team
+        if client.team:
+            query['team'] = client.team
         if self.state:
             query['state'] = self.state
-        reply = entries.ask_any('GET', '/v1/jobs', params=query)
+        reply = client.send_to_any('GET', '/v1/jobs', params=query)
         if reply.exit_code is not ExitCode.DONE:
             return print_reply(reply, '', as_json=as_json)
         print_rows(reply.body.get('jobs', []), as_json=as_json)
@@ -197,7 +198,7 @@
 )
 @dataclass
 class Job:
-    """The command line."""
+    """The options and subcommands of ``marjoramwharf-job``."""
 
     command: cappa.Subcommands[Submit | Status | Wait | Cancel | ListJobs]
     entry: EntryOption
@@ -235,29 +236,29 @@
     headers = operator_headers(options.token_file)
     if options.team:
         headers['X-Team'] = options.team
-    entries = Entries(
+    client = EntryClient(
         entry_urls(options.entry),
         headers=headers,
         transport=transport,
     )
-    return options.command.run(entries, clock, as_json=options.as_json)
+    return options.command.run(client, clock, as_json=options.as_json)
 
 
-def _path(job_id: str) -> str:
+def _job_path(job_id: str) -> str:
     return '/v1/jobs/{0}'.format(quote(job_id, safe=''))
 
 
-def _read(entries: Entries, job_id: str, wait_s: float) -> Reply:
-    path = _path(job_id)
-    return entries.ask_any('GET', f'{path}?wait_s={wait_s:.1f}')
+def _fetch_job(client: EntryClient, job_id: str, wait_s: float) -> Reply:
+    path = _job_path(job_id)
+    return client.send_to_any('GET', f'{path}?wait_s={wait_s:.1f}')
 
 
 def _is_final(reply: Reply) -> bool:
-    # 429 and 503 pass, so the wait goes on.
+    # 429 and 503 are temporary, so the wait goes on.
     if reply.status in {429, 503}:
         return False
     is_refused = reply.exit_code is not ExitCode.DONE
-    return is_refused or reply.body.get('state') in _ENDED
+    return is_refused or reply.body.get('state') in _FINAL_STATES
 
 
 def _final_code(reply: Reply, *, as_json: bool) -> ExitCode:
@@ -274,9 +275,9 @@
         print_json(reply.body)
     else:
         row: dict[str, Any] = {
-            name: shown
-            for name, shown in reply.body.items()
-            if not isinstance(shown, dict)
+            name: content
+            for name, content in reply.body.items()
+            if not isinstance(content, dict)
         }
         print_rows([row], as_json=False)
     return ExitCode.DONE
--- a/src/marjoramwharf/programs/platform_entry.py
+++ b/src/marjoramwharf/programs/platform_entry.py
@@ -1,7 +1,7 @@
 """The daemon of an entry instance on the users' platform.
 
-This module is the composition root: it reads the settings, wires the parts
-and runs them until it is told to stop.
+This module is the composition root: it reads the settings, connects the
+components and runs them until a signal stops the process.
 """
 
 from __future__ import annotations
@@ -67,47 +67,47 @@
 _CONFIG_PREFIX = 'op/'
 _MS_PER_S = 1_000
 
-# Longer than the store takes when it is a hundred times slower than usual; a
-# lost answer delays a start or a submission by this much.
+# Longer than the store takes when it is a hundred times slower than usual. A
+# lost answer delays a start or a submission by this time.
 _STORE_TIMEOUT_S = 0.6
 _RENEWAL_TIMEOUT_S = 0.7
 
-# An instance that does not answer at all is given up earlier than one that
-# answers slowly.
+# Shorter than the other timeouts, so that an instance that does not answer at
+# all is given up earlier than one that answers slowly.
 _CONNECT_TIMEOUT_S = 0.3
 _OWNER_TIMEOUT_S = 0.3
 
-# The owner's lease: short, since nothing starts between two owners.
+# The lease of the owner. Short, since no run starts between two owners.
 _OWNER_TTL_MS = 2_000
 
-# The share of the longest lease that a run gets, so that it outlives a change
-# of owner.
-_HOLD_SHARE = 0.65
+# The lease of a run as a share of the longest allowed one, so that the run
+# outlives a change of owner.
+_HOLD_LEASE_SHARE = 0.65
 
-# An owner whose lease can't be renewed extends the leases of runs for so long.
-_HOLD_AFTER_LAPSE_S = 1.2
+# For how long an owner whose own lease has expired still extends those of runs.
+_HOLD_AFTER_EXPIRY_S = 1.2
 
-# The waits of the watches: a connection that went silent is noticed a second
-# after them, and a configuration has to be in force within two seconds.
+# How long a watch request waits for a change. A silent connection is noticed
+# one second after that, and a configuration must be in force within 2 s.
 _CONFIG_WAIT_MS = 900
 _OWNERS_WAIT_MS = 2_000
 
-# The platform needs two looks, a second apart, to stop sending connections.
-_READINESS_GAP_S = 2.2
+# The platform stops sending connections after two readiness checks, 1 s apart.
+_READINESS_DELAY_S = 2.2
 _STOP_MARGIN_S = 1.0
 
 
-def _client() -> HttpClient:
+def _build_client() -> HttpClient:
     return HttpClient(connect_timeout_s=_CONNECT_TIMEOUT_S)
 
 
 @dataclass(slots=True)
 class Entry:
-    """The parts of the process, wired."""
+    """All components of the process, connected to each other."""
 
-    place: InstanceSettings
+    settings: InstanceSettings
     secret: str = field(default_factory=random_id)
-    client: HttpClient = field(default_factory=_client)
+    client: HttpClient = field(default_factory=_build_client)
     view: OwnerView = field(default_factory=OwnerView)
     config: ConfigCache = field(
         default_factory=partial(
@@ -123,17 +123,17 @@
     store: RelayedStore = field(init=False)
     relay: StoreRelay = field(init=False)
     directory: EntryDirectory = field(init=False)
-    front: HttpServer = field(init=False)
+    api_server: HttpServer = field(init=False)
     campaign: Campaign = field(init=False)
     owner_link: OwnerLink = field(init=False)
 
     def __post_init__(self) -> None:
-        """Wire the parts."""
-        place = self.place
+        """Create and connect the components."""
+        settings = self.settings
         record = EntryRecord(
-            entry_id=place.entry_id,
-            host=place.host,
-            port=place.peer_ports[0],
+            entry_id=settings.entry_id,
+            host=settings.host,
+            port=settings.peer_ports[0],
             secret=self.secret,
         )
         reachability = StoreReachability()
@@ -157,7 +157,7 @@
         )
         self.campaign = Campaign(
             store=RelayedStore(
-                self._direct_store(_client(), _RENEWAL_TIMEOUT_S),
+                self._direct_store(_build_client(), _RENEWAL_TIMEOUT_S),
                 self.relay,
                 reachability,
                 self.store.relay_reachability,
@@ -165,8 +165,8 @@
             view=self.view,
             cell=_CELL,
             record=record,
-            ttl_ms=max(_OWNER_TTL_MS, place.store_limits.min_ttl_ms),
-            cpu_share=place.cpu_share,
+            ttl_ms=max(_OWNER_TTL_MS, settings.store_limits.min_ttl_ms),
+            cpu_share=settings.cpu_share,
             run_cell=self.run_cell,
         )
         intake = Intake(
@@ -178,15 +178,15 @@
             self.counters,
         )
         handler = JobApi(intake, lambda: self.config.current)
-        self.front = HttpServer(handler.handle)
+        self.api_server = HttpServer(handler.handle)
 
     @property
     def identity(self) -> PeerIdentity:
-        """How this process names itself to peers."""
+        """The identity that this process sends to peers."""
         return PeerIdentity(
-            entry_id=self.place.entry_id,
+            entry_id=self.settings.entry_id,
             incarnation=Incarnation(self.secret[:8]),
-            data_centre=self.place.data_centre,
+            data_centre=self.settings.data_centre,
         )
 
     def owned_cell(self) -> Cell | None:
@@ -194,7 +194,7 @@
         return self.cell
 
     def is_ready(self) -> bool:
-        """Whether this entry takes callers."""
+        """Tell whether this entry accepts callers."""
         return (
             self.config.current is not None
             and not self.is_stopping
@@ -202,17 +202,17 @@
         )
 
     async def run(self) -> None:
-        """Serve until SIGTERM."""
-        place = self.place
+        """Serve until SIGTERM or SIGINT."""
+        settings = self.settings
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
-                self._follow,
+                self._watch,
                 _CONFIG_PREFIX,
                 self.config.apply,
                 _CONFIG_WAIT_MS,
             )
             nursery.start_soon(
-                self._follow,
+                self._watch,
                 OWNERS_PREFIX,
                 self.view.apply,
                 _OWNERS_WAIT_MS,
@@ -221,28 +221,28 @@
             nursery.start_soon(self.relay.run)
             nursery.start_soon(self.directory.run)
             nursery.start_soon(self.owner_link.run)
-            # A peer takes an owner that doesn't listen for one that is gone.
+            # Listen first: peers treat an owner that doesn't listen as ended.
             await self._listen(nursery)
             nursery.start_soon(self.campaign.run)
             _LOG.info(
                 'started',
-                entry=place.entry_id,
-                data_centre=place.data_centre,
-                cpu_share=place.cpu_share,
+                entry=settings.entry_id,
+                data_centre=settings.data_centre,
+                cpu_share=settings.cpu_share,
             )
             await self._wait_for_stop()
             nursery.cancel_scope.cancel()
-        _LOG.info('stopped', entry=place.entry_id)
+        _LOG.info('stopped', entry=settings.entry_id)
 
     async def run_cell(self, tenure: Tenure) -> None:
-        """Own the cell until the tenure ends."""
+        """Run the cell as its owner until the tenure ends."""
         cell = Cell(
             ownership=CellOwnership(
                 cell=tenure.cell,
                 guard=tenure.guard,
                 is_current=lambda: tenure.is_current(boot_s()),
                 may_extend_leases=lambda: tenure.is_current(
-                    boot_s() - _HOLD_AFTER_LAPSE_S,
+                    boot_s() - _HOLD_AFTER_EXPIRY_S,
                 ),
                 give_up=tenure.scope.cancel,
             ),
@@ -252,10 +252,12 @@
                 configuration=lambda: self.config.current,
                 workers_prefix=WORKERS_PREFIX,
                 decode_listing=decode_listing,
-                bounds=self.place.bounds,
-                hold_ms=round(self.place.bounds.max_hold_ms * _HOLD_SHARE),
+                bounds=self.settings.bounds,
+                hold_ms=round(
+                    self.settings.bounds.max_hold_ms * _HOLD_LEASE_SHARE
+                ),
                 counters=self.counters,
-                advice_client=self._advice(),
+                advice_client=self._build_advice_client(),
             ),
         )
         self.cell = cell
@@ -279,25 +281,25 @@
         return await answer_job_call(self.owned_cell, sender, call)
 
     def _direct_store(self, client: HttpClient, timeout_s: float) -> KvStore:
-        return KvStore(client, self.place.store_address, timeout_s=timeout_s)
+        return KvStore(client, self.settings.store_address, timeout_s=timeout_s)
 
-    def _advice(self) -> PlatformAdviceClient | None:
-        address = self.place.advice_address
+    def _build_advice_client(self) -> PlatformAdviceClient | None:
+        address = self.settings.advice_address
         return PlatformAdviceClient(self.client, address) if address else None
 
-    async def _follow(
+    async def _watch(
         self, prefix: str, apply: BatchHandler, wait_ms: int
     ) -> None:
         await PrefixWatcher(self.store, prefix, apply, wait_ms).run()
 
     async def _listen(self, nursery: trio.Nursery) -> None:
-        place = self.place
-        if place.front is not None:
-            listener = await open_listener(*place.front)
-            nursery.start_soon(self.front.serve, listener)
-        if place.ready is not None:
+        settings = self.settings
+        if settings.front is not None:
+            listener = await open_listener(*settings.front)
+            nursery.start_soon(self.api_server.serve, listener)
+        if settings.ready is not None:
             ready = HttpServer(partial(answer_readiness, self.is_ready))
-            listener = await open_listener(*place.ready)
+            listener = await open_listener(*settings.ready)
             nursery.start_soon(ready.serve, listener)
         await self._listen_for_metrics(nursery)
         peers = PeerServer(
@@ -305,7 +307,7 @@
             identity=self.identity,
             secret=self.secret,
         )
-        listener = await open_listener(place.host, place.peer_ports[0])
+        listener = await open_listener(settings.host, settings.peer_ports[0])
         nursery.start_soon(_serve_peers, peers, listener)
 
     async def _listen_for_metrics(self, nursery: trio.Nursery) -> None:
@@ -316,9 +318,9 @@
             self.owned_cell,
         )
         try:
-            listener = await open_listener(self.place.host, METRICS_PORT)
+            listener = await open_listener(self.settings.host, METRICS_PORT)
         except OSError as failure:
-            _LOG.warning('no metrics', error=str(failure))
+            _LOG.warning('metrics port not opened', error=str(failure))
             return
         nursery.start_soon(HttpServer(metrics.handle).serve, listener)
 
@@ -330,25 +332,27 @@
         ) as signals:
             async for number in signals:
                 if number == signal.SIGHUP:
-                    _LOG.info('settings changed', effect='none until restart')
+                    _LOG.info(
+                        'settings change ignored', effect='none until restart'
+                    )
                     continue
                 break
         await self._stop()
 
     async def _stop(self) -> None:
-        """Hand over, answer what is under way, then end."""
-        _LOG.info('stopping', entry=self.place.entry_id)
+        """Hand the cell over, then finish the requests that are in flight."""
+        _LOG.info('stopping', entry=self.settings.entry_id)
         self.is_stopping = True
-        grace_s = self.place.bounds.grace_ms / _MS_PER_S - _STOP_MARGIN_S
+        grace_s = self.settings.bounds.grace_ms / _MS_PER_S - _STOP_MARGIN_S
         deadline_s = trio.current_time() + grace_s
         with trio.move_on_after(grace_s / 4):
             if self.cell is not None:
                 await self.cell.hand_over()
         await self.campaign.withdraw()
-        await trio.sleep(min(_READINESS_GAP_S, grace_s / 2))
-        self.front.drain()
+        await trio.sleep(min(_READINESS_DELAY_S, grace_s / 2))
+        self.api_server.drain()
         while (
-            self.front.active_requests_count
+            self.api_server.active_requests_count
             and trio.current_time() < deadline_s
         ):
             await trio.sleep(0.02)
@@ -367,7 +371,7 @@
 def main() -> None:
     """Run the daemon with the platform's settings file.
 
-    With ``--check FILE`` the settings are only read and checked.
+    With ``--check FILE``, only read and check that settings file.
     """
     if len(sys.argv) > 1:
         from marjoramwharf.programs._check_settings import check_settings
@@ -376,13 +380,13 @@
     output = BoundedOutput(sys.stdout.fileno())
     configure_logs(as_json=True, output=output)
     try:
-        place = settings_file.load_instance_settings(
+        settings = settings_file.load_instance_settings(
             settings_file.settings_path()
         )
     except BadSettings as failure:
         _LOG.error('settings refused', error=str(failure))
         sys.exit(2)
-    trio.run(Entry(place, output=output).run)
+    trio.run(Entry(settings, output=output).run)
 
 
 if __name__ == '__main__':
--- a/tests/programs/test_explain.py
+++ b/tests/programs/test_explain.py
@@ -1,11 +1,11 @@
-"""The story of a job from the logs of several entries."""
+"""The timeline of a job from the logs of several entries."""
 
 from __future__ import annotations
 
 import json
 import unittest
 
-from marjoramwharf.programs.explain import describe, find_story
+from marjoramwharf.programs.explain import build_timeline, describe
 
 _JOB = '5c0e7a21d94b36f8'
 
@@ -17,10 +17,10 @@
 
 
 class ExplainTests(unittest.TestCase):
-    """Guards against a story that doesn't name the cause."""
+    """Guards against a timeline without the cause of a delay."""
 
     def test_job_delayed_by_a_worker(self) -> None:
-        """Guards against lines of other jobs, and causes that are left out."""
+        """Guards against lines of other jobs and omitted context events."""
         first = [
             _line(1, 'intake: job accepted', job=_JOB),
             _line(1, 'intake: job accepted', job='other'),
@@ -35,8 +35,8 @@
             _line(5, 'cell: run ended', task=f'{_JOB}.0.0.1', how='vanished'),
             _line(20, 'worker: worker reached', worker='w1'),
         ]
-        story = find_story(_JOB, {'e1': first, 'e2': second})
-        events = [line.event for line in story.lines]
+        timeline = build_timeline(_JOB, {'e1': first, 'e2': second})
+        events = [line.event for line in timeline.lines]
         self.assertEqual(
             [
                 'intake: job accepted',
@@ -48,10 +48,10 @@
             ],
             events,
         )
-        self.assertEqual(1, story.unreadable_count)
-        self.assertIn('worker=w1', describe(story.lines[2]))
+        self.assertEqual(1, timeline.unreadable_count)
+        self.assertIn('worker=w1', describe(timeline.lines[2]))
 
     def test_unknown_job(self) -> None:
-        """Guards against a story about nothing."""
-        story = find_story('none', {'e1': [_line(1, 'main: started')]})
-        self.assertFalse(story.lines)
+        """Guards against context events for a job that no line names."""
+        timeline = build_timeline('none', {'e1': [_line(1, 'main: started')]})
+        self.assertFalse(timeline.lines)
