--- a/src/marjoramwharf/cells/advice.py
+++ b/src/marjoramwharf/cells/advice.py
@@ -2,8 +2,8 @@
 
 Queues with an advice policy start a task only on a worker for which the
 service has issued a ticket. The service handles one call at a time for each
-caller, so steps are queried one after the other, the most urgent first, and
-each call names only some of the workers.
+caller, so steps are queried one after the other, those that became ready first
+before others, and each call names only some of the workers.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class _StepTickets:
-    """Tickets of one step, and the workers refused for it so far."""
+    """Tickets of one step, and the workers that got none when asked for."""
 
     tickets: dict[WorkerId, str] = field(default_factory=dict)
     usable_until_s: float = 0
@@ -73,7 +73,7 @@
 class TicketCache:
     """Requests tickets from the advice service and caches them while valid.
 
-    ``on_change`` is called when a step has received an answer.
+    ``on_change`` is called when the answer for a step has arrived.
     """
 
     client: AdviceClient | None
@@ -132,6 +132,7 @@
         return None
 
     async def _request_tickets(self, task: Task) -> None:
+        """Ask for some workers; when all were refused, start anew later."""
         policy = self._advice_policy(task)
         cached = self._tickets_by_step.setdefault(id(task.step), _StepTickets())
         workers = self._candidates(task, cached)
--- a/src/marjoramwharf/cells/cell.py
+++ b/src/marjoramwharf/cells/cell.py
@@ -45,8 +45,8 @@
 
 _LOG = part_logger('cell')
 
-# Every worker rewrites its entry periodically, which wakes the watch, so events
-# are collected for this long.
+# Every worker rewrites its listing periodically, which wakes the watch, so
+# events are collected for this long.
 _HEARTBEAT_COLLECTION_S = 0.25
 
 _PLAN_PERIOD_S = 0.25
@@ -106,7 +106,7 @@
                 stop_ms=context.bounds.stop_ms,
                 counters=context.counters,
             ),
-            harm_s=context.bounds.harm_ms / _MS_PER_S,
+            max_over_target_s=context.bounds.max_over_target_ms / _MS_PER_S,
             drain_ms=context.bounds.drain_ms,
             on_change=self._plan_signal.set,
         )
@@ -114,7 +114,7 @@
             store=context.store,
             cell=ownership.cell,
             job_table=self.job_table,
-            owner=ownership.guard,
+            ownership_guard=ownership.guard,
             on_stored=self._on_job_stored,
             counters=context.counters,
         )
@@ -310,7 +310,7 @@
             return
         now_s = boot_s()
         now_ms = wall_ms()
-        self.job_table.open_due_occurrences(now_s=now_s, now_ms=now_ms)
+        self.job_table.create_due_occurrences(now_s=now_s, now_ms=now_ms)
         planned = self._planner.plan(
             configuration.queues,
             now_s=now_s,
@@ -322,6 +322,7 @@
             self._progress_writer.wake()
 
     def _on_job_stored(self, job: Job) -> None:
+        """Send the start orders and acknowledge the ends stored by now."""
         for run in tuple(job.live_runs()):
             is_stored = run.planned_version <= job.stored_version
             if run.phase is RunPhase.PLANNED and is_stored:
--- a/src/marjoramwharf/cells/cell_context.py
+++ b/src/marjoramwharf/cells/cell_context.py
@@ -1,4 +1,4 @@
-"""Dependencies of a cell, and its claim to act as the owner."""
+"""Dependencies of a cell, and the right to act as its owner."""
 
 from __future__ import annotations
 
--- a/src/marjoramwharf/cells/config_cache.py
+++ b/src/marjoramwharf/cells/config_cache.py
@@ -17,9 +17,8 @@
 class ConfigCache:
     """Holds the newest configuration read from the store.
 
-    A configuration with a lower version never replaces it. ``decode`` raises
-    ``BadNote`` for a value that can't be decoded; the current configuration
-    is then kept.
+    A configuration with a lower version never replaces it. ``decode`` raises a
+    ``Failure`` for a value that can't be decoded; ``current`` is then kept.
     """
 
     key: str
--- a/src/marjoramwharf/cells/inbox.py
+++ b/src/marjoramwharf/cells/inbox.py
@@ -32,14 +32,15 @@
 class Inbox:
     """Reads requests and cancellations and applies them to the cell's jobs.
 
-    ``on_cancelled`` is called for each open job that a cancellation closes,
-    and ``on_change`` after each batch of watch events.
+    ``on_cancelled`` is called for each open job that is cancelled, and
+    ``on_change`` after each batch of watch events.
     """
 
     cell: CellId
     job_table: JobTable
     on_cancelled: Callable[[Job], None]
     on_change: Callable[[], None]
+    # Also holds jobs whose request hasn't been read yet.
     _cancelled: set[JobId] = field(default_factory=set)
 
     async def load(self, store: PollingStore) -> None:
@@ -59,7 +60,7 @@
                     now_s=now_s,
                 )
                 self.job_table.add_restored(job, now_s=now_s, now_ms=now_ms)
-        self.job_table.open_due_occurrences(now_s=now_s, now_ms=now_ms)
+        self.job_table.create_due_occurrences(now_s=now_s, now_ms=now_ms)
         for stored in found:
             self._apply_cancellation(stored.key)
 
@@ -79,7 +80,7 @@
         self.on_change()
 
     def forget(self, job_id: JobId) -> None:
-        """Drop the cancellation mark of a removed job."""
+        """Forget that a job was cancelled, since it has been removed."""
         self._cancelled.discard(job_id)
 
     async def _read_progress(self, store: PollingStore) -> _ProgressByJob:
--- a/src/marjoramwharf/cells/instance_settings.py
+++ b/src/marjoramwharf/cells/instance_settings.py
@@ -17,10 +17,12 @@
 class Bounds:
     """Time bounds that the platform and its users rely on.
 
-    ``max_hold_ms`` is the longest lease of a run. ``stop_ms`` is the longest
-    time that a worker takes to stop a run, and ``grace_ms`` the time from the
-    request to stop this process to its kill. ``status_ms`` is the time for
-    which the state of a finished job has to be available.
+    ``max_hold_ms`` is the longest lease of a run, ``stop_ms`` the longest time
+    that a worker takes to stop one, ``drain_ms`` the time that a draining one
+    has left by default, ``grace_ms`` that from the request to stop this process
+    to its kill, ``status_ms`` that for which a finished job's state has to be
+    available, and ``max_over_target_ms`` that for which a tail latency may be
+    over its target. The others are only read from the settings and not used.
     """
 
     max_hold_ms: int = 10_000
@@ -31,7 +33,7 @@
     early_ms: int = 250
     status_ms: int = 120_000
     gang_wait_ms: int = 3_000
-    harm_ms: int = 4_000
+    max_over_target_ms: int = 4_000
     far_factor: float = 1
 
 
--- a/src/marjoramwharf/cells/intake.py
+++ b/src/marjoramwharf/cells/intake.py
@@ -59,7 +59,7 @@
 
     ``local_cell`` returns the cell if this entry owns it, and ``owner_link``
     asks the owner otherwise. ``is_store_reachable`` tells whether a call to
-    the store is likely to be carried out.
+    the store is likely to succeed.
     """
 
     store: PollingStore
@@ -99,7 +99,7 @@
         return SubmissionOutcome.UNSERVABLE
 
     async def _accept_if_known(self, request: JobRequest) -> SubmissionOutcome:
-        """Answer without the store: accept a job that the owner knows."""
+        """Accept a job only if the owner has it, since no write can be made."""
         if await self._ask_owner(request.job_id) is not None:
             _LOG.info('job accepted', job=request.job_id, is_new=False)
             return SubmissionOutcome.ACCEPTED
@@ -122,11 +122,12 @@
         request: JobRequest,
         deadline_s: float,
     ) -> SubmissionOutcome:
-        is_doubtful = False
+        """Repeat a write without an answer until the deadline."""
+        maybe_stored = False
         while True:
             outcome = await self._store_once(request)
-            is_doubtful = is_doubtful or outcome is SubmissionOutcome.UNKNOWN
-            if outcome is SubmissionOutcome.ACCEPTED or not is_doubtful:
+            maybe_stored = maybe_stored or outcome is SubmissionOutcome.UNKNOWN
+            if outcome is SubmissionOutcome.ACCEPTED or not maybe_stored:
                 return outcome
             is_late = trio.current_time() + _RETRY_PAUSE_S >= deadline_s
             if is_late or not self.is_store_reachable():
@@ -164,7 +165,7 @@
         return await self._read_status(job_id) if state is None else state
 
     async def cancel(self, job_id: JobId, *, deadline_s: float) -> bool:
-        """Store the cancellation of a job; tell whether the job exists.
+        """Store the cancellation of a job; return whether the job exists.
 
         Raises ``StoreUnavailable`` or ``StoreAnswerLost`` when the deadline
         has passed or the store can't be reached.
@@ -224,23 +225,15 @@
             return None
 
     async def _read_status(self, job_id: JobId) -> PublicJobState | None:
-        stored = await self.store.read(
-            request_key(self.cell, job_id),
-        )
+        stored = await self.store.read(request_key(self.cell, job_id))
         if stored is None:
             return None
-        progress = await self.store.read(
-            progress_key(self.cell, job_id),
-        )
-        cancelled = await self.store.read(
-            cancel_key(self.cell, job_id),
-        )
+        progress = await self.store.read(progress_key(self.cell, job_id))
+        cancelled = await self.store.read(cancel_key(self.cell, job_id))
         return _state_from_store(progress, is_cancelled=cancelled is not None)
 
     async def _read_request_revision(self, job_id: JobId) -> int | None:
-        stored = await self.store.read(
-            request_key(self.cell, job_id),
-        )
+        stored = await self.store.read(request_key(self.cell, job_id))
         return None if stored is None else stored.mod_revision
 
 
@@ -252,11 +245,7 @@
     if progress is None:
         record = ProgressRecord(JobPhase.OPEN)
     else:
-        record = decode(
-            progress.body,
-            ProgressRecord,
-            key=progress.key,
-        )
+        record = decode(progress.body, ProgressRecord, key=progress.key)
     final = _FINAL_STATES.get(record.phase)
     if final is not None:
         return final
--- a/src/marjoramwharf/cells/job_cleanup.py
+++ b/src/marjoramwharf/cells/job_cleanup.py
@@ -25,14 +25,14 @@
 _RETENTION_MARGIN_S = 30
 
 # The three keys of each job and the condition on the owner's record have to fit
-# into one call.
+# into one call to the store.
 _JOBS_PER_COMMIT = 10
 
 
 async def remove_finished_jobs(
     store: PollingStore,
     cell: CellId,
-    owner: Guard,
+    ownership_guard: Guard,
     job_table: JobTable,
     inbox: Inbox,
     *,
@@ -48,7 +48,7 @@
     ]
     for start in range(0, len(expired), _JOBS_PER_COMMIT):
         batch = expired[start : start + _JOBS_PER_COMMIT]
-        if not await _remove_from_store(store, cell, owner, batch):
+        if not await _remove_from_store(store, cell, ownership_guard, batch):
             return
         for job in batch:
             job_table.forget(job.job_id)
@@ -65,9 +65,10 @@
 async def _remove_from_store(
     store: PollingStore,
     cell: CellId,
-    owner: Guard,
+    ownership_guard: Guard,
     jobs: Sequence[Job],
 ) -> bool:
+    """Delete the keys of some jobs; return whether the store has done so."""
     writes = [
         Write(key, None)
         for job in jobs
@@ -78,7 +79,7 @@
         )
     ]
     try:
-        outcome = await store.commit([owner], writes)
+        outcome = await store.commit([ownership_guard], writes)
     except Failure as failure:
         _LOG.info('finished jobs not removed yet', error=str(failure))
         return False
--- a/src/marjoramwharf/cells/link_context.py
+++ b/src/marjoramwharf/cells/link_context.py
@@ -12,7 +12,7 @@
 
 
 class LinkOwner(Protocol):
-    """Callbacks and queries of a worker link to the cell that owns it."""
+    """What a worker link calls of the cell that owns it."""
 
     def on_run_started(self, run: Run) -> None:
         """Record that a worker has started a run."""
--- a/src/marjoramwharf/cells/model_saver.py
+++ b/src/marjoramwharf/cells/model_saver.py
@@ -23,7 +23,7 @@
 
 _LOG = part_logger('model')
 
-# Whatever was learned since the last write is lost when the owner ends.
+# What was learned since the last write is lost when the owner changes.
 _SAVE_PERIOD_S = 3.0
 
 # Limits the size of the record; a pair of images takes about 40 bytes.
@@ -32,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelSaver:
-    """Loads and saves the model; ``owner`` is the condition of every write."""
+    """Loads and saves the model; ``ownership_guard`` stops former owners."""
 
     store: PollingStore
     cell: CellId
-    owner: Guard
+    ownership_guard: Guard
     model: InterferenceModel
 
     async def load(self) -> None:
@@ -66,7 +66,7 @@
     async def _save(self, body: bytes) -> bool:
         write = Write(model_key(self.cell), body)
         try:
-            await self.store.commit([self.owner], [write])
+            await self.store.commit([self.ownership_guard], [write])
         except Failure as failure:
             _LOG.info('model not saved', error=str(failure))
             return False
--- a/src/marjoramwharf/cells/owner_link.py
+++ b/src/marjoramwharf/cells/owner_link.py
@@ -74,7 +74,7 @@
         return int(reply.body)
 
     async def _follow_owner(self, owner: CurrentOwner | None) -> None:
-        """Stay connected to one owner until the store names another one."""
+        """Stay connected to one owner until the view has another record."""
         async with trio.open_nursery() as nursery:
             if owner is not None and not self._is_self(owner):
                 self._client = self._connect(owner)
--- a/src/marjoramwharf/cells/ownership.py
+++ b/src/marjoramwharf/cells/ownership.py
@@ -1,7 +1,8 @@
 """Ownership of cells: leased records in the store, set by compare-and-swap.
 
 The revision at which an owner wrote its record is the fence of its orders to
-workers. It rises with every change of owner.
+workers. It rises with every change of owner. An entry *campaigns* while it
+tries to write the record, and a *tenure* is its time as the owner after that.
 """
 
 from __future__ import annotations
@@ -39,8 +40,8 @@
 # end from all writing at the same moment.
 _CAMPAIGN_JITTER_S = 0.03
 
-# Delays the campaign of an instance with less than one core, so that a faster
-# one wins; scaled by the missing share of the core.
+# Delays the write of an instance with less than one core, so that a faster one
+# becomes the owner; scaled by the missing share of the core.
 _SLOW_INSTANCE_DELAY_S = 0.3
 _RETRY_PAUSE_S = 0.2
 _RENEWALS_PER_TTL = 4
@@ -80,10 +81,7 @@
                 self.owners.pop(cell, None)
                 continue
             record = decode(event.stored.body, EntryRecord, key=event.key)
-            self.owners[cell] = CurrentOwner(
-                record,
-                event.stored.mod_revision,
-            )
+            self.owners[cell] = CurrentOwner(record, event.stored.mod_revision)
         self.is_loaded = True
         self._notify_waiters()
 
@@ -121,7 +119,7 @@
 
     @property
     def guard(self) -> Guard:
-        """The condition that the record is still that of this tenure."""
+        """The condition of a write that the record is still this tenure's."""
         return Guard(owner_key(self.cell), self.revision)
 
     def is_current(self, now_s: float) -> bool:
@@ -151,15 +149,15 @@
     cpu_share: float
     run_cell: RunCell
     tenure: Tenure | None = None
-    is_withdrawn: bool = False
+    has_resigned: bool = False
 
     async def run(self) -> None:
-        """Campaign and run the cell in each tenure won, until cancelled."""
+        """Campaign and run the cell during each tenure, until cancelled."""
         while True:
-            await self._wait_for_vacancy()
+            await self._wait_until_replaceable()
             await trio.sleep(self._campaign_delay_s())
             replaced_revision = self._replaceable_revision()
-            if replaced_revision is None or self.is_withdrawn:
+            if replaced_revision is None or self.has_resigned:
                 continue
             try:
                 tenure = await self._acquire(replaced_revision)
@@ -172,9 +170,9 @@
             else:
                 await self._run_tenure(tenure)
 
-    async def withdraw(self) -> None:
+    async def resign(self) -> None:
         """End the current tenure, if any, and stop campaigning for good."""
-        self.is_withdrawn = True
+        self.has_resigned = True
         tenure = self.tenure
         if tenure is None:
             return
@@ -184,8 +182,8 @@
         except Failure as failure:
             _LOG.info('owner lease not revoked', error=str(failure))
 
-    async def _wait_for_vacancy(self) -> None:
-        while self.is_withdrawn or not self.view.is_loaded:
+    async def _wait_until_replaceable(self) -> None:
+        while self.has_resigned or not self.view.is_loaded:
             await trio.sleep(_RENEWAL_RETRY_PAUSE_S)
         while self._replaceable_revision() is None:
             await self.view.wait_change()
@@ -211,6 +209,7 @@
         return jitter_s + _SLOW_INSTANCE_DELAY_S * slowness
 
     async def _acquire(self, replaced_revision: int) -> Tenure | None:
+        """Write the owner record; returns ``None`` unless it is written."""
         sent_s = boot_s()
         lease = await self.store.grant_lease(self.ttl_ms)
         key = owner_key(self.cell)
@@ -231,6 +230,7 @@
         return Tenure(self.cell, lease, revision, valid_until_s)
 
     async def _find_own_record(self, key: str) -> int | None:
+        """Return the revision of the owner record if it equals this entry's."""
         stored = await self.store.read(key)
         if stored is None or stored.body != encode(self.record):
             return None
@@ -257,7 +257,7 @@
         finally:
             self.tenure = None
         _LOG.info('ownership ended', cell=self.cell, fence=tenure.revision)
-        if not self.is_withdrawn:
+        if not self.has_resigned:
             await self._release_lease(tenure)
 
     async def _release_lease(self, tenure: Tenure) -> None:
--- a/src/marjoramwharf/cells/progress_writer.py
+++ b/src/marjoramwharf/cells/progress_writer.py
@@ -73,14 +73,14 @@
 class ProgressWriter:
     """Writes the progress of jobs with unstored changes, in groups.
 
-    ``owner`` is the condition that this entry still owns the cell.
+    ``ownership_guard`` is the condition that this entry still owns the cell.
     ``on_stored`` is called for each job after one of its versions is stored.
     """
 
     store: PollingStore
     cell: CellId
     job_table: JobTable
-    owner: Guard
+    ownership_guard: Guard
     on_stored: OnStored
     counters: CellCounters = field(default_factory=CellCounters)
     is_failing: bool = False
@@ -150,7 +150,7 @@
 
     async def _commit(self, group: Sequence[_Snapshot]) -> bool:
         """Write a group; return whether the call failed and needs a retry."""
-        guards = [self.owner]
+        guards = [self.ownership_guard]
         writes: list[Write] = []
         for snapshot in group:
             key = progress_key(self.cell, snapshot.job.job_id)
@@ -181,6 +181,7 @@
         failure: Failure,
         group: Sequence[_Snapshot],
     ) -> None:
+        # The snapshots cleared the flag; no job waits to be collected again.
         for snapshot in group:
             snapshot.job.is_urgent = True
         if not self.is_failing:
@@ -224,14 +225,18 @@
         that of this entry, or if another process wrote a progress record.
         """
         found = {stored.key: stored for stored in conflict.found}
-        record = found.get(self.owner.key)
-        if record is None or record.mod_revision != self.owner.mod_revision:
+        record = found.get(self.ownership_guard.key)
+        if (
+            record is None
+            or record.mod_revision != self.ownership_guard.mod_revision
+        ):
             raise NotOwner(message=f'cell {self.cell} has another owner')
         for snapshot in group:
             key = progress_key(self.cell, snapshot.job.job_id)
             self._resolve_job(snapshot.job, found.get(key))
 
     def _resolve_job(self, job: Job, stored: StoredValue | None) -> None:
+        """Compare one progress record; if unchanged, it is written again."""
         revision = 0 if stored is None else stored.mod_revision
         if revision == job.stored_revision:
             return
--- a/src/marjoramwharf/cells/records.py
+++ b/src/marjoramwharf/cells/records.py
@@ -30,7 +30,7 @@
 OWNERS_PREFIX = 'mw/own/'
 ENTRIES_PREFIX = 'mw/entry/'
 
-_Model = TypeVar('_Model')
+_Record = TypeVar('_Record')
 
 
 class EntryRecord(Struct, frozen=True, array_like=True):
@@ -125,10 +125,10 @@
     return msgpack.encode(record)
 
 
-def decode(raw: bytes, record_type: type[_Model], *, key: str) -> _Model:
-    """Deserialize a stored value.
+def decode(raw: bytes, record_type: type[_Record], *, key: str) -> _Record:
+    """Deserialize a value from the store or from another entry.
 
-    Raises ``JournalDamaged`` with the key if the value can't be decoded.
+    Raises ``JournalDamaged`` with ``key``, its origin, if it can't be decoded.
     """
     try:
         return msgpack.decode(raw, type=record_type)
@@ -163,14 +163,14 @@
     job = Job(request, known_since_s=now_s, finished_s=now_s)
     if progress is None:
         if not request.repeat_count:
-            job.open_occurrence(0)
+            job.create_occurrence(0)
         return job
     job.phase = progress.phase
     job.stored_phase = progress.phase
     job.has_begun = progress.has_begun
     job.stored_revision = revision
     for number in progress.open_occurrences:
-        job.open_occurrence(number)
+        job.create_occurrence(number)
     job.next_occurrence = progress.next_occurrence
     for record in progress.tasks:
         task = job.find(record.occurrence, record.step, record.index)
@@ -207,6 +207,7 @@
     task.last_run = record.last_run
     task.failures_count = record.failures_count
     task.checkpoint = record.checkpoint
+    # A planned run may have begun without the former owner's knowledge.
     task.has_begun = bool(record.last_run)
     for run_record in record.runs:
         task.runs[run_record.number] = Run(
--- a/src/marjoramwharf/cells/run_mover.py
+++ b/src/marjoramwharf/cells/run_mover.py
@@ -39,15 +39,16 @@
     on_planned: Callable[[], None]
 
     def move_all(self, *, now_s: float) -> None:
-        """Move each run that should leave its worker and has another place."""
+        """Move each run that should leave and that another worker can take."""
         for worker in self.worker_registry.fleet.workers.values():
-            for rescue in tuple(find_run_moves(worker, now_s=now_s)):
-                self._move_run(rescue, worker, now_s)
+            for move in tuple(find_run_moves(worker, now_s=now_s)):
+                self._move_run(move, worker, now_s)
 
-    def _move_run(self, rescue: RunMove, worker: Worker, now_s: float) -> None:
-        run = rescue.run
+    def _move_run(self, move: RunMove, worker: Worker, now_s: float) -> None:
+        """Stop or duplicate a run, unless no other worker can take it now."""
+        run = move.run
         service = self.queue_of(run).service
-        if rescue.trouble is not MoveReason.LEAVING:
+        if move.reason is not MoveReason.LEAVING:
             worker.suspect_until_s = now_s + _SUSPECT_DURATION_S
             run.task.failed_workers.add(worker.worker_id)
         if not self.planner.has_alternative_worker(
@@ -62,7 +63,7 @@
             task=run.task.name,
             run=run.number,
             worker=run.worker_id,
-            trouble=rescue.trouble.value,
+            trouble=move.reason.value,
             percent=run.percent,
             doubled=may_duplicate,
         )
--- a/src/marjoramwharf/cells/worker_link.py
+++ b/src/marjoramwharf/cells/worker_link.py
@@ -1,8 +1,8 @@
 """Link from a cell's owner to one worker: leases of runs and their reports.
 
-One task holds the worker with long polls. Each poll extends the leases of all
-runs there, acknowledges the ends that are stored, and returns the running and
-the ended runs. Orders to start, stop or pace a run are in ``worker_orders``.
+A *hold* is a long poll of the worker that also extends the leases of all runs
+there, acknowledges the ends that are stored, and returns the running and the
+ended runs. Orders to start, stop or pace a run are in ``worker_orders``.
 """
 
 from __future__ import annotations
@@ -55,11 +55,12 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerLink:
-    """Holds one worker for the owner of its cell by polling it.
+    """Polls one worker for the owner of its cell, one hold after the other.
 
     ``acknowledged_end`` is the number of the last end that is stored, and
-    ``processed_end`` that of the last end that was processed. ``is_urgent``
-    requests frequent polls.
+    ``processed_end`` that of the last end that was processed. An entry of
+    ``_unacknowledged_ends`` is the number of an end, its job, and the version
+    of the job that has to be stored first. ``is_urgent`` asks for short polls.
     """
 
     worker: Worker
@@ -188,7 +189,7 @@
         if not self.worker.is_reachable:
             _LOG.info('worker reached', worker=self.worker.worker_id)
         self.worker.is_reachable = True
-        self.worker.polled_s = now_s
+        self.worker.polled_at_s = now_s
         for ended in report.ended:
             self._process_end(ended)
         self.acknowledge_stored_ends()
@@ -228,13 +229,16 @@
         }
         for run in tuple(self.worker.runs):
             if (run.task.name, run.number) not in reported:
-                self._end_lost(run, now_s, nursery)
+                self._end_or_stop_lost(run, now_s, nursery)
 
-    def _end_lost(self, run: Run, now_s: float, nursery: trio.Nursery) -> None:
-        """End a run of a former incarnation.
+    def _end_or_stop_lost(
+        self, run: Run, now_s: float, nursery: trio.Nursery
+    ) -> None:
+        """End a run of a former incarnation, or stop it first.
 
         A late order could still start the run at the new incarnation, so a run
-        whose order had no answer is stopped there first.
+        whose order had no answer is stopped there. ``ORDERED`` makes ``stop``
+        send its order again.
         """
         if run.phase is RunPhase.PLANNED:
             return
@@ -254,6 +258,7 @@
         self.processed_end = ended.number
         run = self.owner.find_run(ended.task, ended.run)
         if run is None or run.worker_id != self.worker.worker_id:
+            # There is nothing to store, so it can be acknowledged in its turn.
             self._unacknowledged_ends.append((ended.number, None, 0))
             return
         job = self.owner.end_run(run, ended.how, ended.checkpoint)
@@ -318,6 +323,7 @@
 
 
 def _has_certainly_ended(run: Run, sent_s: float, stop_ms: int) -> bool:
+    """Whether a run that is missing in a poll sent at ``sent_s`` has ended."""
     if run.phase is RunPhase.UNCERTAIN:
         return True
     if run.phase is RunPhase.RUNNING:
--- a/src/marjoramwharf/cells/worker_messages.py
+++ b/src/marjoramwharf/cells/worker_messages.py
@@ -106,8 +106,8 @@
 class RunReport:
     """Report on a running run.
 
-    ``reading`` is the tail latency in ms of a task that serves, and the
-    processors in use (millicores) of any other.
+    ``reading`` is the tail latency of a serving task in ms, and the CPU in use
+    by any other in millicores.
     """
 
     task: TaskId
@@ -176,4 +176,4 @@
         *,
         timeout_s: float,
     ) -> HoldReport:
-        """Extend the leases of all runs and report on them."""
+        """Extend the leases of all runs, and return the report on them."""
--- a/src/marjoramwharf/cells/worker_orders.py
+++ b/src/marjoramwharf/cells/worker_orders.py
@@ -31,8 +31,8 @@
 _FULL_WORKER_PAUSE_S = 0.1
 
 # Outcomes of a start order that prove that the run has started. A run number is
-# used once, so "too old" means that this run has ended there already; the next
-# poll reports its end.
+# used once, and ``start`` leaves alone a run that is being stopped, so "too
+# old" means that the run has ended there already; the next poll reports it.
 _STARTED_OUTCOMES = frozenset((OrderOutcome.ACCEPTED, OrderOutcome.RUN_TOO_OLD))
 
 # Outcomes of a stop order after which the run can no longer start there.
@@ -88,7 +88,7 @@
             await self._handle_refusal(run, answer.outcome)
 
     async def stop(self, run: Run) -> None:
-        """Send the stop order of a run until the run can no longer start."""
+        """Repeat the stop order of a run until the run can't start any more."""
         if run.phase is RunPhase.PLANNED:
             self.owner.end_run(run, RunEnd.VANISHED, '')
             return
@@ -149,6 +149,7 @@
         return answer
 
     async def _handle_refusal(self, run: Run, outcome: OrderOutcome) -> None:
+        """Block the worker for a while, and end the run or stop it first."""
         _LOG.info(
             'start refused',
             task=run.task.name,
@@ -158,9 +159,9 @@
         )
         now_s = boot_s()
         if outcome is OrderOutcome.NO_ROOM:
-            self.worker.not_before_s = now_s + _FULL_WORKER_PAUSE_S
+            self.worker.blocked_until_s = now_s + _FULL_WORKER_PAUSE_S
         else:
-            self.worker.not_before_s = now_s + _UNHEALTHY_WORKER_PAUSE_S
+            self.worker.blocked_until_s = now_s + _UNHEALTHY_WORKER_PAUSE_S
         if run.is_start_unconfirmed:
             await self.stop(run)
         else:
--- a/src/marjoramwharf/cells/worker_registry.py
+++ b/src/marjoramwharf/cells/worker_registry.py
@@ -37,10 +37,10 @@
 class WorkerRegistry:
     """Tracks the workers that the platform lists and runs a link to each.
 
-    ``harm_s`` is the time for which a tail latency may be over its target.
-    ``drain_ms`` is assumed for a draining worker that doesn't state how much
-    time it has left. ``decode`` raises a ``Failure`` for an entry that names
-    no worker, and ``on_change`` is called when workers come, go or change.
+    A tail latency may be over its target for ``max_over_target_s``. A draining
+    worker that doesn't state how much time it has left has ``drain_ms``.
+    ``decode`` raises a ``Failure`` for a listing that names no worker, and
+    ``on_change`` is called when workers come, go or change.
     """
 
     prefix: str
@@ -49,7 +49,7 @@
     model: InterferenceModel
     owner: LinkOwner
     context: LinkContext
-    harm_s: float
+    max_over_target_s: float
     drain_ms: int
     on_change: Callable[[], None]
     fleet: Fleet = field(default_factory=Fleet)
@@ -155,7 +155,7 @@
         try:
             return self.decode(event.key, event.stored.body)
         except Failure as failure:
-            _LOG.warning('worker entry not decoded', error=str(failure))
+            _LOG.warning('worker listing not decoded', error=str(failure))
             return None
 
     def _apply_listing(self, listing: WorkerListing) -> None:
@@ -167,7 +167,7 @@
             remaining_ms = listing.remaining_ms
             if remaining_ms is None:
                 remaining_ms = self.drain_ms
-            worker.leaves_s = boot_s() + remaining_ms / _MS_PER_S
+            worker.leaves_at_s = boot_s() + remaining_ms / _MS_PER_S
         if worker.listing.state is not listing.state:
             _LOG.info(
                 'worker state changed',
@@ -187,7 +187,7 @@
         self._pace_controllers[worker_id] = PaceController(
             worker,
             self.model,
-            self.harm_s,
+            self.max_over_target_s,
         )
         self._learners[worker_id] = InterferenceLearner(worker, self.model)
         if self._nursery is not None:
--- a/src/marjoramwharf/platform/boot.py
+++ b/src/marjoramwharf/platform/boot.py
@@ -98,7 +98,7 @@
         early_ms=whole('early_ms', 0),
         status_ms=seconds('status_s', 120),
         gang_wait_ms=whole('GangMs', 3_000),
-        harm_ms=whole('HarmMs', 4_000),
+        max_over_target_ms=whole('HarmMs', 4_000),
         far_factor=_field(fields, 'Bounds.FarX', float, 1.0, origin),
     )
 
--- a/src/marjoramwharf/programs/platform_entry.py
+++ b/src/marjoramwharf/programs/platform_entry.py
@@ -342,7 +342,7 @@
         with trio.move_on_after(grace_s / 4):
             if self.cell is not None:
                 await self.cell.hand_over()
-        await self.campaign.withdraw()
+        await self.campaign.resign()
         await trio.sleep(min(_READINESS_GAP_S, grace_s / 2))
         self.front.drain()
         while self.front.busy_count and trio.current_time() < deadline_s:
--- a/src/marjoramwharf/scheduling/baseline_headroom.py
+++ b/src/marjoramwharf/scheduling/baseline_headroom.py
@@ -1,8 +1,8 @@
 """Forecast of the headroom that a serving job has without interference.
 
-Load answered: serving tasks whose load rises and falls within seconds. All
-tasks of a job share its load, so each reading of any of them counts. Filling
-tasks are best placed where the load is about to fall.
+Headroom (see :mod:`scheduling.interference`) changes within seconds with the
+load of the job. All its tasks share the load, so each reading of any of them
+counts. Filling tasks are best placed where the load is about to fall.
 
     >>> headroom = BaselineHeadroom()
     >>> for second in range(10):
@@ -16,7 +16,7 @@
 import math
 from dataclasses import dataclass
 
-# Headroom expected before any reading, and its weight in readings of variance 1.
+# Headroom expected before any reading, and its weight (an inverse variance).
 _PRIOR_HEADROOM = 2.0
 _PRIOR_WEIGHT = 0.5
 
@@ -30,7 +30,7 @@
 # A forecast extends the slope for no longer than this.
 _MAX_TREND_S = 1.5
 
-# How far a forecast may go below and above all earlier levels.
+# How far a forecast may leave the range of all headrooms fitted so far.
 _FORECAST_MARGIN = 0.15
 
 
@@ -58,7 +58,7 @@
         at_s: float,
         variance: float,
     ) -> None:
-        """Add the headroom without interference that a reading implies."""
+        """Add the headroom implied by a reading, weighted 1 / ``variance``."""
         self._advance_to(max(at_s, self._at_s))
         weight = 1 / variance
         back_s = at_s - self._at_s
@@ -72,7 +72,7 @@
         self._highest = max(self._highest, level)
 
     def forecast(self, *, at_s: float) -> float:
-        """Return the expected headroom without interference at a time."""
+        """Return the headroom to expect at a time if no filling tasks ran."""
         if not self._weight:
             return _PRIOR_HEADROOM
         level, slope = self._fit_line()
@@ -82,7 +82,7 @@
         return min(max(expected, lowest), self._highest + _FORECAST_MARGIN)
 
     def _advance_to(self, at_s: float) -> None:
-        """Make the sums relative to a later time, and decay them."""
+        """Make the sums relative to a later time, and decay the weights."""
         passed_s = at_s - self._at_s if self._weight else 0
         decay = math.exp(-passed_s / _DECAY_TIME_S)
         time = self._weight_time
@@ -97,7 +97,7 @@
         self._at_s = at_s
 
     def _fit_line(self) -> tuple[float, float]:
-        """Return the fitted headroom at ``_at_s`` and its slope."""
+        """Return the fitted headroom at ``_at_s`` and its change per second."""
         weight = self._weight + _PRIOR_WEIGHT
         headroom = self._weight_headroom + _PRIOR_WEIGHT * _PRIOR_HEADROOM
         spread = self._weight_square - self._weight_time**2 / weight
--- a/src/marjoramwharf/scheduling/fleet.py
+++ b/src/marjoramwharf/scheduling/fleet.py
@@ -31,7 +31,7 @@
 
 @enum.unique
 class WorkerState(enum.Enum):
-    """State of a worker in the platform's list."""
+    """State by the platform's list: usable, about to leave, or off the list."""
 
     READY = 'ready'
     DRAINING = 'draining'
@@ -78,27 +78,28 @@
 class Worker:
     """A worker and the runs that reserve its capacity.
 
-    ``is_reachable`` tells whether the latest poll of the worker was answered.
-    No run is placed there before ``not_before_s``, and preferably none before
-    ``suspect_until_s``. ``failure_weight`` and ``success_weight`` are the
-    numbers of runs that failed and that were done there, decayed over time. A
-    draining worker may be gone from ``leaves_s`` on. ``polled_s`` is the time
-    of the latest poll that was answered. While the worker
-    ``is_filling_paused``, its filling runs may be slowed or paused and none is
-    added. ``headrooms`` and their key are a cache of
-    :mod:`scheduling.headroom`, which a new ``version`` invalidates.
+    ``is_reachable`` tells whether the latest poll of the worker was answered,
+    ``polled_at_s`` when one was answered last, and ``born_ms`` which
+    incarnation answered (0: none yet). No run is placed there before
+    ``blocked_until_s``, and preferably none before ``suspect_until_s``.
+    ``failure_weight`` and ``success_weight`` are the numbers of runs that
+    failed and that were done there, decayed over time. A draining worker may
+    be gone from ``leaves_at_s`` on. While the worker ``is_filling_paused``, its
+    filling runs may be slowed or paused and none is added. ``headrooms`` and
+    their key are a cache of :mod:`scheduling.headroom`, which a new
+    ``version`` invalidates. Times in seconds are those of the boot clock.
     """
 
     listing: WorkerListing
     is_reachable: bool = False
     born_ms: int = 0
-    not_before_s: float = 0
+    blocked_until_s: float = 0
     suspect_until_s: float = 0
     failure_weight: float = 0
     success_weight: float = 0
-    outcome_recorded_s: float = 0
-    leaves_s: float = 0
-    polled_s: float = 0
+    outcome_recorded_at_s: float = 0
+    leaves_at_s: float = 0
+    polled_at_s: float = 0
     reserved_millicores: int = 0
     reserved_memory_mb: int = 0
     reserved_accelerators_count: int = 0
@@ -138,12 +139,12 @@
         return self.step_counts[id(step)]
 
     def record_outcome(self, *, has_failed: bool, now_s: float) -> None:
-        """Add a run that failed or was done to the decayed weights."""
+        """Count a run that failed or was done in the decayed weights."""
         decay = self._decay_factor(now_s)
         failures = self.failure_weight * decay + has_failed
         self.failure_weight = min(failures, _MAX_FAILURE_WEIGHT)
         self.success_weight = self.success_weight * decay + (not has_failed)
-        self.outcome_recorded_s = now_s
+        self.outcome_recorded_at_s = now_s
 
     def failure_weight_at(self, now_s: float) -> float:
         """Return the failure weight, decayed until a time."""
@@ -159,11 +160,11 @@
         )
 
     def is_usable(self, now_s: float) -> bool:
-        """Whether new runs may be placed here."""
+        """Whether the worker takes new runs at all, whatever their size."""
         return (
             self.listing.state is WorkerState.READY
             and self.is_reachable
-            and self.not_before_s <= now_s
+            and self.blocked_until_s <= now_s
             and not self.is_quarantined(now_s)
         )
 
@@ -208,7 +209,7 @@
         return (run for run in self.runs if run.step.fills)
 
     def _decay_factor(self, now_s: float) -> float:
-        passed_s = max(0, now_s - self.outcome_recorded_s)
+        passed_s = max(0, now_s - self.outcome_recorded_at_s)
         return math.pow(_OUTCOME_DECAY_PER_S, passed_s)
 
     def mark_changed(self) -> None:
@@ -216,6 +217,7 @@
         self.version += 1
 
     def _adjust_reserved(self, run: Run, sign: int) -> None:
+        """Add the resources of a run (sign 1), or subtract them (-1)."""
         self.mark_changed()
         step = run.step
         self.reserved_memory_mb += sign * step.memory_mb
--- a/src/marjoramwharf/scheduling/headroom.py
+++ b/src/marjoramwharf/scheduling/headroom.py
@@ -1,8 +1,8 @@
 """Expected headroom of serving tasks, and the harm of one more filling task.
 
-Load answered: filling tasks that can only run beside serving ones. Workers are
-compared by harm, which is the number of serving jobs that are expected to be
-lost because too many of their tasks are over their latency target.
+Headroom is explained in :mod:`scheduling.interference`. Workers are compared by
+*harm*: how many serving jobs, often a fraction of one, are expected to be lost
+to the new task. A job is lost if too many tasks are over their latency target.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 _FORECAST_START_S = 0.4
 _FORECAST_END_S = 1.4
 
-# Expected headrooms are cached until the next of these periods begins.
+# Expected headrooms are cached until the next such period begins.
 _CACHE_PERIODS_PER_S = 4
 
 # Variance of a headroom without interference, and the ratio of the scale of a
@@ -51,8 +51,9 @@
     """Expected headroom of the tasks of one serving step on a worker.
 
     ``baseline`` is the headroom without any filling tasks, ``headroom`` that
-    beside the present ones. Beside these, ``over_target_count`` of the
-    ``count`` tasks are expected to be over their target.
+    beside the present ones, and ``variance`` that of the loss to these. Beside
+    them, ``over_target_count`` of the ``count`` tasks are expected to be over
+    their target.
     """
 
     step: Step
@@ -76,7 +77,7 @@
 
 
 def over_target_probability(headroom: float, variance: float) -> float:
-    """Return the probability that a task is over its latency target."""
+    """Return the probability that a task with this headroom is over target."""
     scale = _LOGISTIC_SCALE * math.sqrt(_BASELINE_VARIANCE + variance)
     return 1 / (1 + math.exp(min(50, (headroom - 1) / scale)))
 
@@ -113,11 +114,11 @@
     now_s: float,
     job_millicores: float,
 ) -> float:
-    """Return how many serving jobs a filling task is expected to cost.
+    """Return the harm of starting a filling task on a worker.
 
-    A job is worth nothing once a fraction of its tasks are over their target,
-    so interference costs least where jobs are lost already. That only holds
-    until the present filling tasks end, so it counts for a part of the time.
+    A job is lost once a quarter of its tasks are over their target, so there
+    is least harm where jobs are lost already. That only holds until the
+    present filling tasks end, so it counts for a part of the time.
     ``job_millicores`` is the mean size of a serving job.
     """
     share = request.cpu_millicores / max(1, worker.capacity.cpu_millicores)
@@ -169,8 +170,8 @@
 ) -> float:
     """Return the harm, in jobs of mean size, of more tasks over their target.
 
-    ``present_count`` tasks are over it already. A large job meets interference on
-    more workers, so it counts more than in proportion to its size.
+    ``present_count`` tasks are over it already. A large job meets interference
+    on more workers, so it counts more than in proportion to its size.
     """
     per_task = _OVER_TARGET_WEIGHT / step.request.count
     lost = min(1, (present_count + added_count) * per_task) - min(
--- a/src/marjoramwharf/scheduling/interference.py
+++ b/src/marjoramwharf/scheduling/interference.py
@@ -1,8 +1,8 @@
 """Learned effect of filling tasks on the tail latency of serving tasks.
 
-Load answered: many filling tasks of several images beside serving tasks of
-others. The effect differs between pairs of images by an order of magnitude,
-changes within seconds, and is only visible in lagging readings.
+Filling tasks of several images run beside serving tasks of others. The effect
+differs between pairs of images by an order of magnitude, changes within
+seconds, and is only visible in readings that lag.
 
 The *headroom* of a serving task is its target divided by its tail latency: 1
 at the target, and less above it. A tail latency grows like that of a queue,
@@ -26,8 +26,8 @@
 
 from msgspec import Struct
 
-# Prior of a weight, which is the headroom that filling tasks on a whole worker
-# take, and the variance of that.
+# Mean and variance of a weight before any reading. A weight is the headroom
+# that filling tasks take if they use the whole CPU of the worker.
 _PRIOR_WEIGHT = 3.5
 _PRIOR_VARIANCE = 25.0
 
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class InterferenceModel:
-    """Estimated weights by serving image and filling image."""
+    """Estimated weight of each pair of a serving and a filling image."""
 
     _weights: dict[str, dict[str, _Weight]] = field(default_factory=dict)
 
@@ -88,21 +88,21 @@
         )
 
     def restore(self, stored: Iterable[KnownWeight]) -> None:
-        """Start from the weights that a former owner has learned."""
+        """Take over the weights that a former owner has learned."""
         for known in stored:
             weights = self._weights.setdefault(known.serving, {})
             variance = min(known.variance + _RESTORED_VARIANCE, _PRIOR_VARIANCE)
             weights[known.filling] = _Weight(known.mean, variance)
 
     def weight(self, filling: str, serving: str) -> float:
-        """Return the headroom that ``filling`` takes on a whole worker."""
+        """Return the headroom lost beside ``filling`` on all of the CPU."""
         known = self._weights.get(serving, {}).get(filling)
         return _PRIOR_WEIGHT if known is None else known.mean
 
     def expected_loss(
         self, serving: str, loads: Iterable[FillingLoad]
     ) -> HeadroomLoss:
-        """Return the headroom that a serving task loses beside loads."""
+        """Return the headroom that a serving task would lose to the loads."""
         weights = self._weights.get(serving, {})
         headroom: float = 0
         variance: float = 0
@@ -124,9 +124,9 @@
         lost_headroom: float,
         variance: float,
     ) -> None:
-        """Update the weights by the headroom that loads took together.
+        """Learn from the headroom that a serving task lost to all the loads.
 
-        ``variance`` is that of the reading.
+        ``variance`` is that of ``lost_headroom``.
         """
         weights = self._weights.setdefault(serving, {})
         shares: Counter[str] = Counter()
--- a/src/marjoramwharf/scheduling/job_state.py
+++ b/src/marjoramwharf/scheduling/job_state.py
@@ -1,8 +1,9 @@
 """State of the jobs that a cell owns: their steps, tasks and runs.
 
-A *run* is one start of a task at one worker. Its number rises with each start
-of the task, so that a worker can tell a late order from a new one. The state
-here is the owner's view of it; ``cells`` stores it before acting on it.
+A *run* is one start of a task at one worker, *live* until its end is recorded.
+Its number rises with each start of the task, so that a worker can tell a late
+order from a new one. The state here is the owner's view of it; ``cells`` stores
+it before acting on it. Times in seconds are those of the boot clock.
 """
 
 from __future__ import annotations
@@ -25,9 +26,9 @@
 class RunPhase(enum.Enum):
     """Phase in the life of a run.
 
-    A ``PLANNED`` run isn't stored yet and no order to start it was sent. An
-    ``ORDERED`` run may have started. An ``UNCERTAIN`` run was found in the
-    store by a new owner that hasn't heard from its worker yet.
+    For a ``PLANNED`` run no start order was sent yet. An ``ORDERED`` run may
+    have started. For a ``STOPPING`` one a stop order is sent. An ``UNCERTAIN``
+    run was found in the store by a new owner that hasn't heard from its worker.
     """
 
     PLANNED = 'planned'
@@ -40,11 +41,11 @@
 
 @enum.unique
 class RunEnd(enum.Enum):
-    """How a run ended.
+    """How a run ended, as reported by its worker unless it ``VANISHED``.
 
     ``FAILED`` is the only end that counts as an attempt. ``LAPSED`` runs ended
-    with their lease. ``VANISHED`` runs never started or ended with their
-    worker.
+    with their lease. ``BROKEN`` and ``ALONE`` are as reported by the worker. A
+    ``VANISHED`` run has no reported end: it never started, or was lost.
     """
 
     DONE = 'done'
@@ -58,7 +59,7 @@
 
 @enum.unique
 class JobPhase(enum.IntEnum):
-    """Phase in the life of a job; the values are stored."""
+    """``OPEN`` while a job is unfinished, or how it ended; stored by value."""
 
     OPEN = 0
     DONE = 1
@@ -75,16 +76,16 @@
     and ``progress_read_s`` that at which it was last read. ``pace_percent`` is
     the share of its full speed at which the run may work, last changed at
     ``pace_changed_s``. ``reading`` is the tail latency of a serving task in
-    ms, and the CPU in use by any other in millicores. ``checkpoint`` is the latest
-    checkpoint. The run may be ordered once ``planned_version`` of its job is
-    stored. It ``is_listed`` once its worker has listed it, and its start
+    ms, the CPU in use by any other in millicores, and 0 if none was reported.
+    The run may be ordered once ``planned_version`` of its job is stored. It
+    ``is_listed`` once its worker has reported it as running, and its start
     ``is_start_unconfirmed`` once an order to start it got no answer.
     """
 
     task: Task
     number: int
     worker_id: WorkerId
-    born_ms: int
+    born_ms: int  # tells the incarnation of the worker
     phase: RunPhase
     planned_s: float
     started_s: float | None = None
@@ -97,7 +98,7 @@
     checkpoint: str = ''
     pace_percent: int = 100
     planned_version: int = 0
-    stop_answered_s: float | None = None
+    stop_answered_s: float | None = None  # the worker has taken a stop order
     is_listed: bool = False
     is_start_unconfirmed: bool = False
     ticket: str = ''
@@ -116,14 +117,14 @@
     index: int
     name: TaskId
     is_done: bool = False
-    last_run: int = 0
+    last_run: int = 0  # the highest run number used
     failures_count: int = 0
     checkpoint: str = ''
     runs: dict[int, Run] = field(default_factory=dict)
     failed_workers: set[WorkerId] = field(default_factory=set)
-    not_before_s: float = 0
+    not_before_s: float = 0  # no run is planned earlier
     ready_since_s: float = 0
-    has_begun: bool = False
+    has_begun: bool = False  # a run may have started
 
     @property
     def is_waiting(self) -> bool:
@@ -161,7 +162,7 @@
         return self.done_count == len(self.tasks)
 
     @property
-    def is_open(self) -> bool:
+    def is_unblocked(self) -> bool:
         """Whether all steps that this one depends on are done."""
         steps = self.occurrence.steps
         return all(steps[before].is_done for before in self.request.after)
@@ -173,7 +174,7 @@
 
     job: Job
     number: int
-    due_ms: int
+    due_ms: int  # the Unix time before which no task starts
     steps: list[Step] = field(default_factory=list)
     is_due: bool = False
 
@@ -183,7 +184,7 @@
         return all(step.is_done for step in self.steps)
 
     def live_runs(self) -> Iterator[Run]:
-        """Return all runs that may be at work."""
+        """Return all runs that have not ended, planned ones included."""
         for step in self.steps:
             for task in step.tasks:
                 yield from task.runs.values()
@@ -195,9 +196,9 @@
 
     ``version`` grows with each change that has to be stored, and
     ``stored_version`` is the latest stored one. ``stored_phase`` is the phase
-    of the job in the store, which is what callers are told. A change
-    ``is_urgent`` if an order or a caller waits until it is stored.
-    ``known_since_s`` is the time at which this owner took the job in.
+    of the job in the store, which is what callers are told. The job
+    ``is_urgent`` if an order or a caller waits until a change is stored.
+    ``known_since_s`` is the time at which this owner learned of the job.
     """
 
     request: JobRequest
@@ -207,7 +208,7 @@
     next_occurrence: int = 0
     version: int = 0
     stored_version: int = 0
-    stored_revision: int = 0
+    stored_revision: int = 0  # of the job's progress record; 0 if it has none
     is_urgent: bool = False
     has_begun: bool = False
     finished_s: float = 0
@@ -228,17 +229,12 @@
         self.version += 1
         self.is_urgent = self.is_urgent or is_urgent
 
-    def open_occurrence(self, number: int) -> Occurrence:
+    def create_occurrence(self, number: int) -> Occurrence:
         """Create an occurrence with its steps and tasks."""
         occurrence = Occurrence(self, number, self.request.due_ms(number))
         paths_ms = critical_paths_ms(self.request.steps)
         for step_number, request in enumerate(self.request.steps):
-            step = Step(
-                occurrence,
-                step_number,
-                request,
-                paths_ms[step_number],
-            )
+            step = Step(occurrence, step_number, request, paths_ms[step_number])
             step.tasks = [
                 Task(step, index, self._task_name(number, step_number, index))
                 for index in range(request.count)
@@ -249,13 +245,13 @@
         return occurrence
 
     def tasks(self) -> Iterator[Task]:
-        """Return the tasks of all open occurrences."""
+        """Return the tasks of all occurrences that are not over."""
         for occurrence in self.occurrences.values():
             for step in occurrence.steps:
                 yield from step.tasks
 
     def live_runs(self) -> Iterator[Run]:
-        """Return all runs that may be at work."""
+        """Return all runs that have not ended, planned ones included."""
         for task in self.tasks():
             yield from task.runs.values()
 
--- a/src/marjoramwharf/scheduling/job_table.py
+++ b/src/marjoramwharf/scheduling/job_table.py
@@ -36,7 +36,7 @@
 
     ``ready`` keeps the order in which tasks became ready. A planned run and
     the end of a job are urgent to store, since an order or a caller waits for
-    them.
+    them. ``_repeating`` holds the jobs with occurrences still to be created.
     """
 
     jobs: dict[JobId, Job] = field(default_factory=dict)
@@ -54,8 +54,8 @@
         if request.repeat_count:
             self._repeating[job.job_id] = job
         else:
-            self._open(job, 0, now_s, now_ms)
-        self.open_due_occurrences(now_s=now_s, now_ms=now_ms)
+            self._create(job, 0, now_s, now_ms)
+        self.create_due_occurrences(now_s=now_s, now_ms=now_ms)
         return job
 
     def add_restored(self, job: Job, *, now_s: float, now_ms: int) -> None:
@@ -69,13 +69,13 @@
             occurrence.is_due = now_ms + _EARLY_START_MS >= occurrence.due_ms
             self._update_ready(occurrence, now_s)
 
-    def open_due_occurrences(self, *, now_s: float, now_ms: int) -> None:
-        """Open the occurrences of repeating jobs that are due."""
+    def create_due_occurrences(self, *, now_s: float, now_ms: int) -> None:
+        """Create the occurrences of repeating jobs that are due by now."""
         for job in tuple(self._repeating.values()):
-            self._open_due(job, now_s, now_ms)
+            self._create_due(job, now_s, now_ms)
 
     def next_due_ms(self) -> int | None:
-        """Return the time at which the next occurrence is due, if any."""
+        """Return the Unix time at which the next occurrence is due, if any."""
         return min(
             (
                 job.request.due_ms(job.next_occurrence)
@@ -134,7 +134,7 @@
         max_attempts: int,
         now_s: float,
     ) -> None:
-        """Record the end of a run; ``checkpoint`` is its checkpoint, if any."""
+        """Record the end of a run and its checkpoint, and update its job."""
         task = run.task
         task.runs.pop(run.number, None)
         run.phase = RunPhase.ENDED
@@ -152,7 +152,7 @@
         self._advance_job(job, task.step, now_s)
 
     def cancel(self, job_id: JobId, *, now_s: float) -> Job | None:
-        """Cancel a job; the caller still has to stop its live runs."""
+        """Cancel an open job and return it; the caller has to stop its runs."""
         job = self.jobs.get(job_id)
         if job is None or not job.is_open:
             return job
@@ -178,7 +178,7 @@
         )
 
     def find_run(self, name: TaskId, number: int) -> Run | None:
-        """Return the live run of a task, ``None`` if there is none."""
+        """Return a live run by its number, ``None`` if there is none."""
         task = self.find_task(name)
         return None if task is None else task.runs.get(number)
 
@@ -195,29 +195,29 @@
         return job.find(occurrence, step, index)
 
     def live_runs(self) -> Iterator[Run]:
-        """Return the live runs of all jobs."""
+        """Return the runs of all jobs that have not ended, planned or not."""
         for job in self.jobs.values():
             yield from job.live_runs()
 
     def surplus_runs(self, job: Job) -> list[Run]:
-        """Return the live runs of a finished job or of tasks that are done."""
+        """Return the live runs of a finished job, else those of done tasks."""
         return [
             run
             for run in job.live_runs()
             if not job.is_open or run.task.is_done
         ]
 
-    def _open_due(self, job: Job, now_s: float, now_ms: int) -> None:
+    def _create_due(self, job: Job, now_s: float, now_ms: int) -> None:
         request = job.request
         while job.is_open and job.next_occurrence < request.occurrences_count:
             due_ms = request.due_ms(job.next_occurrence)
             if due_ms > now_ms + _EARLY_START_MS:
                 return
-            self._open(job, job.next_occurrence, now_s, now_ms)
+            self._create(job, job.next_occurrence, now_s, now_ms)
         self._repeating.pop(job.job_id, None)
 
-    def _open(self, job: Job, number: int, now_s: float, now_ms: int) -> None:
-        occurrence = job.open_occurrence(number)
+    def _create(self, job: Job, number: int, now_s: float, now_ms: int) -> None:
+        occurrence = job.create_occurrence(number)
         occurrence.is_due = now_ms + _EARLY_START_MS >= occurrence.due_ms
         self._update_ready(occurrence, now_s)
         self._mark_changed(job)
@@ -234,6 +234,7 @@
                 self.ready.pop(member.name, None)
 
     def _count_failure(self, task: Task, max_attempts: int) -> None:
+        """Count a failed attempt of a task, or of its gang as a whole."""
         counted = gang_of(task)[0]
         counted.failures_count += 1
         exhausted = counted.failures_count >= max_attempts
@@ -275,10 +276,11 @@
         if not occurrence.is_due:
             return
         for step in occurrence.steps:
-            if not step.is_done and step.is_open:
+            if not step.is_done and step.is_unblocked:
                 self._add_ready(step, now_s)
 
     def _add_ready(self, step: Step, now_s: float) -> None:
+        """Add the waiting tasks of a step; a gang only if all of it waits."""
         if step.request.is_gang:
             if not all(task.is_waiting for task in step.tasks):
                 return
@@ -305,7 +307,7 @@
 
 
 def gang_of(task: Task) -> Sequence[Task]:
-    """Return the tasks that end together with a task, the first one first."""
+    """Return all tasks of a task's gang in order, else the task alone."""
     if task.step.request.is_gang:
         return task.step.tasks
     return (task,)
--- a/src/marjoramwharf/scheduling/ordering.py
+++ b/src/marjoramwharf/scheduling/ordering.py
@@ -1,8 +1,8 @@
 """The order in which waiting steps are placed.
 
-Load answered: bursts in which more work waits than fits on the workers. Steps
-of jobs that can still meet their objective are placed first, by slack; jobs
-that are too late to be of any use come last.
+In a burst, more work waits than fits on the workers. Steps of jobs that can
+still meet their objective, which is a time limit, are placed first, by slack;
+jobs that are too late to be of any use come last.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from marjoramwharf.scheduling.job_table import job_of
 from marjoramwharf.scheduling.policy import QueuePolicy
 
-# A job that takes longer than this many times its objective is of no use.
+# A job is of no use once it takes longer than this multiple of its objective.
 _MAX_USEFUL_OBJECTIVES = 3
 
 # Estimates are rough: a critical path may turn out shorter by this share.
--- a/src/marjoramwharf/scheduling/pacing.py
+++ b/src/marjoramwharf/scheduling/pacing.py
@@ -1,8 +1,8 @@
 """Slows filling runs to bound how long a tail latency is over its target.
 
-Load answered: filling tasks that turn out to disturb the serving tasks beside
-them. The most disturbing ones are slowed first; a tail that stays over its
-target for long pauses all filling runs of the worker.
+A *pace* is the share of its full speed at which a filling run may work. Runs
+that take most headroom (see :mod:`scheduling.interference`) are slowed first; a
+tail latency over its target for long pauses all filling runs of the worker.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 # Paces are multiples of this, which keeps the number of orders low.
 _PACE_STEP_PERCENT = 25
 
-# The headroom that the paces should leave, and how many standard deviations of
-# the expected loss are added, since little may be known of a pair of images.
+# The headroom that the paces should leave. Added to it are this many standard
+# deviations of the expected loss, as little may be known of a pair of images.
 _GOAL_HEADROOM = 1.2
 _MARGIN_DEVIATIONS = 0.4
 
@@ -58,7 +58,7 @@
     _decided_s: float = 0
 
     def decide(self, *, now_s: float) -> Mapping[Run, int]:
-        """Return the runs whose pace changes, with the new percentage."""
+        """Return the new percentage of each run whose pace is to change."""
         filling = running_runs(self.worker.filling_runs())
         longest_s = self._longest_over_target_s(now_s)
         self.worker.is_filling_paused = (
@@ -79,7 +79,7 @@
         )
 
     def _longest_over_target_s(self, now_s: float) -> float:
-        """Return how long a tail may have been over its target by now."""
+        """Return how long, in s, a tail may have been over its target."""
         # A tail may have risen right after the last poll that found it low.
         self._over_target_since_s = {
             run: self._over_target_since_s.get(run, self._decided_s)
@@ -94,7 +94,7 @@
         filling: Sequence[Run],
         now_s: float,
     ) -> dict[Run, int]:
-        """Slow the most disturbing runs until no headroom is short."""
+        """Slow the most disturbing runs until no step lacks headroom."""
         paces = dict.fromkeys(filling, FULL_PERCENT)
         shortfalls = self._headroom_shortfalls(filling, now_s)
         for run in sorted(
@@ -125,7 +125,7 @@
         filling: Sequence[Run],
         now_s: float,
     ) -> dict[Step, float]:
-        """Return the headroom that each serving step lacks at full pace.
+        """Return the headroom that each serving step would lack at full pace.
 
         That is the larger one of the expected shortfall and of the measured
         shortfall of any task that is over its target.
@@ -157,6 +157,7 @@
         self,
         shortfalls: Mapping[Step, float],
     ) -> Callable[[Run], float]:
+        # Counts the headroom that a run takes from the steps that lack some.
         def disturbance(run: Run) -> float:
             share = cpu_share_of(run, self.worker, FULL_PERCENT)
             return share * sum(
--- a/src/marjoramwharf/scheduling/placement.py
+++ b/src/marjoramwharf/scheduling/placement.py
@@ -1,8 +1,8 @@
 """Choice of the worker for a task.
 
-Load answered: many short tasks beside lasting tasks that serve users of their
-own. Serving tasks are packed, so that some workers stay free of them. Filling
-tasks go there first, and then where they are expected to do least harm.
+Many short tasks run beside lasting tasks that serve users. Serving tasks are
+packed, so that some workers stay free of them. Filling tasks go there first,
+and then where they do least harm (see :mod:`scheduling.headroom`).
 """
 
 from __future__ import annotations
@@ -20,18 +20,17 @@
 from marjoramwharf.scheduling.workload import StepRequest
 
 # Costs of placing a task on a worker, in units of one whole worker in use.
-_FAILURE_COST = 1.5
-_SUSPECT_COST = 3.0
-_SAME_FAILURE_COST = 4.0
-_OTHER_RACK_COST = 6.0
-_OVERLOAD_COST = 3.0
-_HARM_COST = 4.0
-_SERVING_RUN_COST = 0.01
-_UTILIZATION_COST = 0.05
-_OTHER_IMAGE_COST = 2.0
-_SAME_STEP_GAIN = 0.3
-
-_SERVING_BESIDE_FILLING_COST = 1.0
+_FAILURE_COST = 1.5  # for each recent failure there (decayed)
+_SUSPECT_COST = 3.0  # a run recently hung or was slow there
+_FAILED_THERE_COST = 4.0  # the task itself has failed there
+_OTHER_RACK_COST = 6.0  # not in the rack of the task's data
+_OVERLOAD_COST = 3.0  # filling: for the expected use beyond the whole CPU
+_HARM_COST = 4.0  # filling: for each serving job expected to be lost
+_SERVING_RUN_COST = 0.01  # filling: for each serving run, over the free share
+_UTILIZATION_COST = 0.05  # filling: for the expected use of the CPU
+_OTHER_IMAGE_COST = 2.0  # serving: for the CPU of serving runs of other images
+_SAME_STEP_GAIN = 0.3  # serving: a task of the same step is there
+_SERVING_BESIDE_FILLING_COST = 1.0  # serving: for the CPU of filling runs
 
 # A serving task uses about this share of the CPU that it reserves.
 _SERVING_USE_SHARE = 0.45
@@ -50,8 +49,8 @@
 class PlacementContext:
     """What a placement depends on besides the task and the workers.
 
-    A filling task waits rather than cost more than ``allowed_harm`` serving
-    jobs, whose mean size is ``serving_job_millicores``. None of the
+    A filling task is placed only where its harm is at most ``allowed_harm``.
+    ``serving_job_millicores`` is the mean size of a serving job. None of the
     ``excluded_workers`` is chosen.
     """
 
@@ -103,14 +102,14 @@
         heapq.heapify(self._costs)
 
     def choose(self, task: Task) -> Worker | None:
-        """Return the cheapest worker; place the task before the next call."""
+        """Return the cheapest worker, if any; reserve it before a new call."""
         if task.failed_workers:
             return choose_worker(task, self._workers, self._context)
         self._refresh_cheapest()
         return self._workers[self._costs[0][1]] if self._costs else None
 
     def _refresh_cheapest(self) -> None:
-        """Recompute the cost of the first worker until it is the least."""
+        """Recompute the lowest cost until it is up to date."""
         while self._costs:
             computed_cost, number = self._costs[0]
             worker = self._workers[number]
@@ -138,10 +137,7 @@
 def placement_cost(
     task: Task, worker: Worker, context: PlacementContext
 ) -> float:
-    """Return the cost of a task on a worker, to its job and to other runs.
-
-    With an infinite cost, the task should wait instead.
-    """
+    """Return the cost of a task on a worker, infinite if it should wait."""
     request = task.step.request
     now_s = context.now_s
     if request.fills:
@@ -154,7 +150,7 @@
     if worker.suspect_until_s > now_s:
         cost += _SUSPECT_COST
     if worker.worker_id in task.failed_workers:
-        cost += _SAME_FAILURE_COST
+        cost += _FAILED_THERE_COST
     if request.data_rack and request.data_rack not in worker.listing.labels:
         cost += _OTHER_RACK_COST
     return cost
@@ -187,6 +183,7 @@
 def _allowed_cost(
     task: Task, worker: Worker, context: PlacementContext
 ) -> float:
+    """Return the cost, infinite also where the task must not run now."""
     if worker.worker_id in context.excluded_workers:
         return math.inf
     if not may_run(task, worker, context.now_s):
@@ -199,7 +196,7 @@
     worker: Worker,
     context: PlacementContext,
 ) -> float:
-    """Return the cost of a filling task by its slowdown and its harm."""
+    """Return the cost of a filling task: its own slowdown and its harm."""
     whole = max(1, worker.capacity.cpu_millicores)
     serving = worker.serving_millicores / whole * _SERVING_USE_SHARE
     plain = (worker.reserved_millicores - worker.serving_millicores) / whole
@@ -248,6 +245,7 @@
 
 
 def _plain_cost(worker: Worker) -> float:
+    """Return the expected share of the worker's CPU in use."""
     whole = max(1, worker.capacity.cpu_millicores)
     filling = worker.filling_millicores / whole
     serving = worker.serving_millicores / whole * _SERVING_USE_SHARE
@@ -261,6 +259,7 @@
     usable: Sequence[Worker],
     context: PlacementContext,
 ) -> list[tuple[Task, Worker]] | None:
+    """Choose a worker for each task, counting in those chosen before."""
     chosen: list[tuple[Task, Worker]] = []
     placeholders: list[Run] = []
     for task in tasks:
--- a/src/marjoramwharf/scheduling/planner.py
+++ b/src/marjoramwharf/scheduling/planner.py
@@ -29,15 +29,15 @@
 from marjoramwharf.scheduling.policy import QueuePolicy
 from marjoramwharf.scheduling.unplaceable_steps import UnplaceableSteps
 
-# Serving jobs that a filling task may cost: hardly any while its job has time
-# to wait, and one more for each ``_HARM_STEP_MS`` of slack below
-# ``_PATIENT_SLACK_MS``.
-_PATIENT_HARM = 0.04
-_PATIENT_SLACK_MS = 1_000
-_HARM_STEP_MS = 800
+# Largest harm (see scheduling.headroom) at which a filling task starts: hardly
+# any while its job has much slack, and one serving job more for each
+# ``_SLACK_MS_PER_HARM`` of slack below ``_MUCH_SLACK_MS``.
+_HARM_WITH_MUCH_SLACK = 0.04
+_MUCH_SLACK_MS = 1_000
+_SLACK_MS_PER_HARM = 800
 
-# Serving jobs that a filling task of a late job may cost, and how many more for
-# each second that it waits, so that it starts at last.
+# The same for a late job, and how much more for each second that the task
+# waits, so that it starts at last.
 _LATE_HARM = 0.15
 _LATE_HARM_PER_S = 0.1
 
@@ -77,7 +77,7 @@
         now_s: float,
         now_ms: int,
     ) -> list[StepPlan]:
-        """Plan runs for what fits now: reserved, but not ordered yet."""
+        """Plan runs for the ready tasks that fit, and reserve for them."""
         tasks = [
             task
             for task in self.job_table.ready.values()
@@ -123,13 +123,13 @@
         """Plan runs for the ready tasks of one step, as far as they fit."""
         step = group[0].step.request
         allowed_harm = context.allowed_harm
-        if unplaceable.covers(service, step, allowed_harm):
+        if unplaceable.rules_out(service, step, allowed_harm):
             return None
         runs = self._place_group(group, service, context)
-        # Gangs and steps with one rack or tickets can use fewer workers than
-        # others, so what is refused to them says nothing of other steps.
-        is_general = not (step.is_gang or step.needs_one_rack)
-        if len(runs) < len(group) and is_general:
+        # A gang or a step with one rack or tickets isn't offered all workers,
+        # so its failure doesn't prove that another step finds none.
+        had_all_workers = not (step.is_gang or step.needs_one_rack)
+        if len(runs) < len(group) and had_all_workers:
             if self.tickets(group[0].step) is None:
                 unplaceable.add(service, step, allowed_harm)
         return StepPlan(runs, rank, allowed_harm) if runs else None
@@ -147,7 +147,7 @@
         *,
         now_s: float,
     ) -> Run | None:
-        """Plan one more run of a task on a worker that doesn't run it yet."""
+        """Plan a second run of a task on another worker, if one can take it."""
         worker = self._alternative_worker(task, service, now_s)
         return None if worker is None else self._place(task, worker, now_s)
 
@@ -169,7 +169,7 @@
         )
 
     def _mean_serving_millicores(self) -> float:
-        """Return the mean size of the open serving steps in millicores."""
+        """Return the mean size of the serving steps of unfinished jobs."""
         sizes = [
             step.count * step.cpu_millicores
             for job in self.job_table.jobs.values()
@@ -182,14 +182,14 @@
         )
 
     def _allowed_harm(self, task: Task, rank: Rank, now_s: float) -> float:
-        """Return how many serving jobs a filling task may cost."""
+        """Return the largest harm at which a task, if it fills, may start."""
         waited_s = now_s - task.ready_since_s
         if waited_s > _MAX_IDLE_WAIT_S and self._is_idle():
             return math.inf
         if rank.tier is not Tier.ON_TIME:
             return _LATE_HARM + _LATE_HARM_PER_S * waited_s
-        excess_harm = (_PATIENT_SLACK_MS - rank.slack_ms) / _HARM_STEP_MS
-        return _PATIENT_HARM + max(0, excess_harm)
+        excess_harm = (_MUCH_SLACK_MS - rank.slack_ms) / _SLACK_MS_PER_HARM
+        return _HARM_WITH_MUCH_SLACK + max(0, excess_harm)
 
     def _is_idle(self) -> bool:
         """Whether much of the fleet's CPU is neither reserved nor in use."""
@@ -209,6 +209,7 @@
         service: str,
         context: PlacementContext,
     ) -> list[Run]:
+        """Place tasks of one step until one of them finds no worker."""
         candidates = self._candidates(group[0], service)
         if group[0].step.request.is_gang:
             return self._place_gang(group[0], candidates, context)
@@ -233,12 +234,7 @@
         context: PlacementContext,
     ) -> list[Run]:
         tasks = gang_of(first)
-        chosen = choose_gang_workers(
-            tasks,
-            self.fleet,
-            candidates,
-            context,
-        )
+        chosen = choose_gang_workers(tasks, self.fleet, candidates, context)
         number = 1 + max(task.last_run for task in tasks)
         return [
             self._place(task, worker, context.now_s, number=number)
@@ -265,6 +261,7 @@
         return run
 
     def _candidates(self, task: Task, service: str) -> list[Worker]:
+        """Return the workers of the service that have a ticket if needed."""
         workers = self.fleet.workers_of(service)
         tickets = self.tickets(task.step)
         if tickets is None:
--- a/src/marjoramwharf/scheduling/readings.py
+++ b/src/marjoramwharf/scheduling/readings.py
@@ -49,14 +49,14 @@
 
 @dataclass(slots=True)
 class InterferenceLearner:
-    """Updates the model and the forecasts from each poll of one worker."""
+    """Updates the model and the forecasts after each poll of one worker."""
 
     worker: Worker
     model: InterferenceModel
     _ended_runs: list[_EndedRun] = field(default_factory=list)
 
     def record_end(self, run: Run, *, now_s: float) -> None:
-        """Record a filling run that has just ended."""
+        """Keep a filling run that has ended, as it affects later readings."""
         if run.step.fills and run.started_s is not None:
             self._ended_runs.append(
                 _EndedRun(
@@ -96,6 +96,10 @@
         loads: list[FillingLoad],
         now_s: float,
     ) -> None:
+        """Learn from a headroom beside loads.
+
+        If it is saturated, the loss is only known to be at least this large.
+        """
         at_s = now_s - _WINDOW_S / 2
         image = step.request.image
         lost_headroom = step.baseline_headroom.forecast(at_s=at_s) - headroom
@@ -131,6 +135,7 @@
             yield step, statistics.fmean(headrooms)
 
     def _recent_loads(self, now_s: float) -> Iterator[FillingLoad]:
+        """Return the mean filling loads in the time that readings cover."""
         since_s = now_s - _WINDOW_S
         self._ended_runs = [
             ended for ended in self._ended_runs if ended.ended_s > since_s
@@ -171,6 +176,7 @@
 
 
 def _overlap_share(started_s: float, ended_s: float, since_s: float) -> float:
+    """Return the share of the window from ``since_s`` in which a run ran."""
     length_s = ended_s - max(started_s, since_s)
     return min(1, max(0, length_s / _WINDOW_S))
 
--- a/src/marjoramwharf/scheduling/run_moves.py
+++ b/src/marjoramwharf/scheduling/run_moves.py
@@ -1,7 +1,7 @@
 """Choice of the runs to move, as their worker leaves, hangs or is slow.
 
-Load answered: days on which a tenth of the workers stand still or run several
-times slower for some seconds, and workers that leave with work on them.
+A tenth of the workers may stand still or run several times slower for some
+seconds on a bad day, and workers leave with work on them.
 """
 
 from __future__ import annotations
@@ -55,11 +55,11 @@
     """A run to move, or to duplicate where that is allowed."""
 
     run: Run
-    trouble: MoveReason
+    reason: MoveReason
 
 
 def find_run_moves(worker: Worker, *, now_s: float) -> Iterator[RunMove]:
-    """Return the runs of a worker that should be moved off it."""
+    """Return the runs that should leave a worker; none if it's unreachable."""
     if not worker.is_reachable:
         return
     for run in worker.runs:
@@ -70,7 +70,7 @@
 
 
 def expected_remaining_s(run: Run, now_s: float) -> float:
-    """Return how long a run is expected to take until its end."""
+    """Return how long a run still takes, by its progress or the estimate."""
     started_s = now_s if run.started_s is None else run.started_s
     elapsed_s = now_s - started_s
     estimate_s = run.step.estimate_ms / _MS_PER_S
@@ -84,17 +84,18 @@
     if worker.listing.state is WorkerState.DRAINING:
         return MoveReason.LEAVING if _must_leave(run, worker, now_s) else None
     # Progress is as old as the latest poll, so it is compared with that time.
-    if _is_hung(run, worker.polled_s):
+    if _is_hung(run, worker.polled_at_s):
         return MoveReason.HUNG
-    if _is_slow(run, worker.polled_s):
+    if _is_slow(run, worker.polled_at_s):
         return MoveReason.SLOW
     return None
 
 
 def _must_leave(run: Run, worker: Worker, now_s: float) -> bool:
+    """Whether a run should stop, as it won't end before its worker leaves."""
     if run.step.is_lasting:
         return True
-    left_s = worker.leaves_s - now_s
+    left_s = worker.leaves_at_s - now_s
     if expected_remaining_s(run, now_s) < left_s:
         return False
     return not run.step.has_checkpoints or left_s < _LEAVE_MARGIN_S
--- a/src/marjoramwharf/scheduling/unplaceable_steps.py
+++ b/src/marjoramwharf/scheduling/unplaceable_steps.py
@@ -1,8 +1,8 @@
 """Steps that could not be placed in one pass of the planner.
 
-Load answered: bursts on large fleets, in which hundreds of steps wait. Free
-capacity only shrinks within a pass, so a step that needs no less than one that
-found no worker need not be compared with every worker.
+Free capacity only shrinks within a pass, so a step that needs no less than one
+that found no worker need not be compared with every worker. This counts in
+bursts on large fleets, in which hundreds of steps wait.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
         if not step.per_worker_limit:
             self._steps.append(_UnplaceableStep(service, step, allowed_harm))
 
-    def covers(
+    def rules_out(
         self,
         service: str,
         step: StepRequest,
         allowed_harm: float,
     ) -> bool:
-        """Whether no worker can take a step because of one recorded before."""
+        """Whether a recorded step proves that no worker can take this one."""
         return any(
             recorded.service == service
             and _needs_no_less(step, recorded.step)
--- a/src/marjoramwharf/scheduling/workload.py
+++ b/src/marjoramwharf/scheduling/workload.py
@@ -22,9 +22,10 @@
     ``estimate_ms`` is the caller's rough estimate of a task's run time. A task
     runs fastest in ``data_rack``, its worker must have ``required_label``, and
     one worker may run ``per_worker_limit`` tasks of the step (0: any number).
-    A task that ``fills`` uses the CPU that other tasks leave unused, and
-    reserves none itself. The scheduler may make ``max_unavailable_count``
-    tasks of a lasting step unavailable at a time.
+    The tasks of a gang start together. A lasting task is never done; a serving
+    one has a ``target_tail_ms`` for its tail latency. A task that ``fills``
+    uses the CPU that others leave unused, and reserves none itself. At most
+    ``max_unavailable_count`` lasting tasks may be made unavailable at a time.
     """
 
     count: int
--- a/tests/cells/test_model_saver.py
+++ b/tests/cells/test_model_saver.py
@@ -23,11 +23,11 @@
     return store, Guard(_OWNER_KEY, stored.mod_revision)
 
 
-def _new_saver(store: PollingMemoryStore, owner: Guard) -> ModelSaver:
-    return ModelSaver(store, CELL, owner, InterferenceModel())
+def _new_saver(store: PollingMemoryStore, guard: Guard) -> ModelSaver:
+    return ModelSaver(store, CELL, guard, InterferenceModel())
 
 
-class ModelKeeperTests(unittest.TestCase):
+class ModelSaverTests(unittest.TestCase):
     """Guards against seconds of missed targets after each change of owner."""
 
     def test_next_owner_knows_it(self) -> None:
@@ -43,8 +43,8 @@
         run_with_clock(self._unreadable)
 
     async def _next_owner(self) -> None:
-        store, owner = await _owned_store()
-        saver = _new_saver(store, owner)
+        store, guard = await _owned_store()
+        saver = _new_saver(store, guard)
         for _ in range(40):
             saver.model.observe(
                 's',
@@ -53,15 +53,15 @@
                 variance=0.05,
             )
         await self._run(saver)
-        successor = _new_saver(store, owner)
+        successor = _new_saver(store, guard)
         await successor.load()
         learned = saver.model.weight('f', 's')
         self.assertEqual(learned, successor.model.weight('f', 's'))
 
     async def _former_owner(self) -> None:
-        store, owner = await _owned_store()
+        store, guard = await _owned_store()
         await store.commit([], [Write(_OWNER_KEY, b'e2')])
-        saver = _new_saver(store, owner)
+        saver = _new_saver(store, guard)
         saver.model.observe(
             's', [FillingLoad('f', 0.1)], lost_headroom=1, variance=0.05
         )
@@ -69,9 +69,9 @@
         self.assertNotIn(model_key(CELL), store.state.stored)
 
     async def _unreadable(self) -> None:
-        store, owner = await _owned_store()
+        store, guard = await _owned_store()
         await store.commit([], [Write(model_key(CELL), b'\xc1')])
-        saver = _new_saver(store, owner)
+        saver = _new_saver(store, guard)
         await saver.load()
         self.assertFalse(saver.model.learned_weights())
 
--- a/tests/scheduling/test_pacing.py
+++ b/tests/scheduling/test_pacing.py
@@ -19,7 +19,7 @@
     start_run,
 )
 
-_HARM_S = 4.0
+_MAX_OVER_S = 4.0
 
 
 class PacingTests(unittest.TestCase):
@@ -30,7 +30,7 @@
         self.job_table = JobTable()
         self.worker = make_worker('w1')
         self.model = InterferenceModel()
-        self.controller = PaceController(self.worker, self.model, _HARM_S)
+        self.controller = PaceController(self.worker, self.model, _MAX_OVER_S)
         self.learner = InterferenceLearner(self.worker, self.model)
         serving = make_step(image='s', is_lasting=True, target_tail_ms=18)
         filling = make_step(image='f', fills=True, cpu_millicores=4_000)
@@ -41,7 +41,7 @@
         """Guards against a tail latency over its target for four seconds."""
         paused_s = self._poll_until_pause()
         # An order takes 0.1 s to act, and readings lag by half a second.
-        self.assertLessEqual(paused_s, _HARM_S - 0.6)
+        self.assertLessEqual(paused_s, _MAX_OVER_S - 0.6)
         self.assertTrue(self.worker.is_filling_paused)
         self.assertFalse(self.worker.has_resources_for(self.filling.step))
 
@@ -134,7 +134,7 @@
         """Start with one worker."""
         self.job_table = JobTable()
         self.worker = make_worker('w1')
-        self.worker.polled_s = 10
+        self.worker.polled_at_s = 10
 
     def test_hung_run(self) -> None:
         """Guards against a job that waits for a task that makes no progress."""
@@ -179,7 +179,7 @@
             'w1',
             state=WorkerState.DRAINING,
         ).listing
-        self.worker.leaves_s = 13
+        self.worker.leaves_at_s = 13
         self.assertEqual({lasting, long}, set(self._moves(10)))
         self.assertNotIn(short, self._moves(10))
 
@@ -199,6 +199,6 @@
 
     def _moves(self, now_s: float) -> dict[Run, MoveReason]:
         return {
-            move.run: move.trouble
+            move.run: move.reason
             for move in find_run_moves(self.worker, now_s=now_s)
         }
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -329,13 +329,13 @@
         """Guards against a model that confuses the effects of two images."""
         for number in range(300):
             shares = (0.1, 0.02) if number % 2 else (0.02, 0.1)
-            pressures = [
+            loads = [
                 FillingLoad('heavy', shares[0]),
                 FillingLoad('light', shares[1]),
             ]
             self.model.observe(
                 's',
-                pressures,
+                loads,
                 lost_headroom=7 * shares[0] + 0.5 * shares[1],
                 variance=0.05,
             )
