--- a/src/marjoramwharf/cells/records.py
+++ b/src/marjoramwharf/cells/records.py
@@ -30,7 +30,7 @@
 OWNERS_PREFIX = 'mw/own/'
 ENTRIES_PREFIX = 'mw/entry/'
 
-_Record = TypeVar('_Record')
+_Model = TypeVar('_Model')  # any record, not an interference model
 
 
 class EntryRecord(Struct, frozen=True, array_like=True):
@@ -125,7 +125,7 @@
     return msgpack.encode(record)
 
 
-def decode(raw: bytes, record_type: type[_Record], *, key: str) -> _Record:
+def decode(raw: bytes, record_type: type[_Model], *, key: str) -> _Model:
     """Deserialize a value from the store or from another entry.
 
     Raises ``JournalDamaged`` with ``key``, its origin, if it can't be decoded.
