--- a/src/marjoramwharf/cells/cell.py
+++ b/src/marjoramwharf/cells/cell.py
@@ -125,10 +125,7 @@
             on_change=self._wake_planner_and_writer,
         )
         self._model_saver = ModelSaver(
-            context.store,
-            ownership.cell,
-            ownership.guard,
-            self._model,
+            context.store, ownership.cell, ownership.guard, self._model
         )
         self._ticket_cache = TicketCache(
             client=context.advice_client,
@@ -335,6 +332,7 @@
             self.end_run(run, RunEnd.VANISHED, '')
 
     def _stop_surplus_runs(self, job: Job) -> None:
+        """Stop the runs that a job no longer needs; drop the planned ones."""
         for run in self.job_table.surplus_runs(job):
             if run.phase is RunPhase.PLANNED:
                 self.end_run(run, RunEnd.VANISHED, '')
--- a/src/marjoramwharf/cells/inbox.py
+++ b/src/marjoramwharf/cells/inbox.py
@@ -54,10 +54,7 @@
             if request is not None:
                 record, revision = progress.get(request.job_id, (None, 0))
                 job = restore_job(
-                    request,
-                    record,
-                    revision=revision,
-                    now_s=now_s,
+                    request, record, revision=revision, now_s=now_s
                 )
                 self.job_table.add_restored(job, now_s=now_s, now_ms=now_ms)
         self.job_table.create_due_occurrences(now_s=now_s, now_ms=now_ms)
--- a/src/marjoramwharf/cells/intake.py
+++ b/src/marjoramwharf/cells/intake.py
@@ -135,6 +135,7 @@
             await trio.sleep(_RETRY_PAUSE_S)
 
     async def _store_once(self, request: JobRequest) -> SubmissionOutcome:
+        """Write the request; one that is stored already is accepted, too."""
         key = request_key(self.cell, request.job_id)
         write = Write(key, encode(request))
         try:
@@ -180,6 +181,7 @@
             await trio.sleep(_RETRY_PAUSE_S)
 
     async def _cancel_once(self, job_id: JobId) -> bool:
+        """Write the cancellation; return whether the store has one."""
         revision = await self._read_request_revision(job_id)
         if revision is None:
             return False
@@ -207,9 +209,7 @@
         return await self.owner_link.waiting_count(queue)
 
     def _log_accepted(
-        self,
-        request: JobRequest,
-        outcome: Committed | Conflict,
+        self, request: JobRequest, outcome: Committed | Conflict
     ) -> None:
         is_new = isinstance(outcome, Committed)
         _LOG.info('job accepted', job=request.job_id, is_new=is_new)
--- a/src/marjoramwharf/cells/owner_link.py
+++ b/src/marjoramwharf/cells/owner_link.py
@@ -108,6 +108,7 @@
         return owner.record.entry_id == self.identity.entry_id
 
     def _connect(self, owner: CurrentOwner) -> PeerClient:
+        """Return a client that detects the end of the owner's process."""
         record = owner.record
         refusals = itertools.count(1)
 
--- a/src/marjoramwharf/cells/ownership.py
+++ b/src/marjoramwharf/cells/ownership.py
@@ -237,6 +237,7 @@
         return stored.mod_revision
 
     async def _run_tenure(self, tenure: Tenure) -> None:
+        """Run the cell until the tenure ends; failures are only logged."""
         _LOG.info(
             'ownership taken',
             cell=self.cell,
--- a/src/marjoramwharf/cells/progress_writer.py
+++ b/src/marjoramwharf/cells/progress_writer.py
@@ -20,11 +20,7 @@
     encode,
     progress_key,
 )
-from marjoramwharf.errors import (
-    Failure,
-    NotOwner,
-    StoreAnswerLost,
-)
+from marjoramwharf.errors import Failure, NotOwner, StoreAnswerLost
 from marjoramwharf.ids import JobId
 from marjoramwharf.links.backoff import Backoff
 from marjoramwharf.links.store import (
@@ -111,6 +107,7 @@
             await trio.sleep(0.01)
 
     async def _run_committer(self) -> None:
+        """Write one group after the other, with a pause after a failure."""
         pauses = Backoff(first_s=_INITIAL_PAUSE_S, limit_s=_MAX_PAUSE_S)
         while True:
             group = self._next_group()
--- a/src/marjoramwharf/cells/worker_link.py
+++ b/src/marjoramwharf/cells/worker_link.py
@@ -84,10 +84,7 @@
     def __post_init__(self) -> None:
         """Create the orders, which share the clock with this link."""
         self.orders = WorkerOrders(
-            self.worker,
-            self.owner,
-            self.context,
-            self.clock,
+            self.worker, self.owner, self.context, self.clock
         )
 
     async def run(self) -> None:
@@ -108,6 +105,7 @@
         self._ends_acknowledged.set()
 
     async def _poll_once(self, nursery: trio.Nursery) -> None:
+        """Send one hold, and process the report or the lack of one."""
         if not self.owner.may_extend_leases():
             await trio.sleep(_UNREACHABLE_PAUSE_S)
             return
@@ -161,6 +159,7 @@
             await self._ends_acknowledged.wait()
 
     def _record_unreachable(self, outcome: OrderOutcome) -> None:
+        """Mark the worker lost; end its runs once none can be at work."""
         now_s = boot_s()
         if self.worker.is_reachable:
             _LOG.warning(
@@ -253,6 +252,7 @@
             self.owner.end_run(run, RunEnd.VANISHED, '')
 
     def _process_end(self, ended: EndReport) -> None:
+        """Record an end unless an earlier poll has reported it already."""
         if ended.number <= self.processed_end:
             return
         self.processed_end = ended.number
@@ -270,6 +270,7 @@
         now_s: float,
         nursery: trio.Nursery,
     ) -> None:
+        """Update a run from a report; stop one that the cell doesn't have."""
         run = self.owner.find_run(run_report.task, run_report.run)
         if run is None or run.worker_id != self.worker.worker_id:
             self._stop_unknown_run(run_report, now_s, nursery)
--- a/src/marjoramwharf/cells/worker_messages.py
+++ b/src/marjoramwharf/cells/worker_messages.py
@@ -18,7 +18,8 @@
     ``ACCEPTED`` also means that the run was there already. ``FENCED``: the
     worker has seen a higher fence. ``RUN_TOO_OLD``: this run or a later one of
     its task ended or was stopped there. ``TOO_LATE``: the lease in the order
-    had ended on arrival. ``BUSY``: the worker was unhealthy and did nothing.
+    had ended on arrival. ``NO_ROOM``: the worker has too few free resources.
+    ``BUSY``: the worker was unhealthy and did nothing.
     ``OTHER_WORKER``: the address belongs to another incarnation. ``UNKNOWN``:
     there was no answer; the order may be carried out, even seconds later.
     ``NOT_SENT``: the order was not sent.
--- a/src/marjoramwharf/cells/worker_registry.py
+++ b/src/marjoramwharf/cells/worker_registry.py
@@ -177,6 +177,7 @@
         worker.listing = listing
 
     def _add_worker(self, worker: Worker) -> None:
+        """Track a new worker, and reserve for the runs placed there before."""
         worker_id = worker.worker_id
         self.fleet.workers[worker_id] = worker
         for run in self.job_table.live_runs():
--- a/src/marjoramwharf/scheduling/interference.py
+++ b/src/marjoramwharf/scheduling/interference.py
@@ -95,7 +95,7 @@
             weights[known.filling] = _Weight(known.mean, variance)
 
     def weight(self, filling: str, serving: str) -> float:
-        """Return the headroom lost beside ``filling`` on all of the CPU."""
+        """Return the headroom that ``filling`` would take on the whole CPU."""
         known = self._weights.get(serving, {}).get(filling)
         return _PRIOR_WEIGHT if known is None else known.mean
 
--- a/src/marjoramwharf/scheduling/ordering.py
+++ b/src/marjoramwharf/scheduling/ordering.py
@@ -24,7 +24,7 @@
 
 @enum.unique
 class Tier(enum.IntEnum):
-    """Whether a waiting job can be on time; lower values go first."""
+    """Whether a job can be on time, or of use at all; lower goes first."""
 
     ON_TIME = 0
     LATE = 1
--- a/src/marjoramwharf/scheduling/pacing.py
+++ b/src/marjoramwharf/scheduling/pacing.py
@@ -176,6 +176,7 @@
 
 
 def _due_changes(paces: Mapping[Run, int], now_s: float) -> Mapping[Run, int]:
+    """Leave out paces that are in force, and raises that come too soon."""
     return {
         run: percent
         for run, percent in paces.items()
--- a/src/marjoramwharf/scheduling/planner.py
+++ b/src/marjoramwharf/scheduling/planner.py
@@ -233,6 +233,7 @@
         candidates: Sequence[Worker],
         context: PlacementContext,
     ) -> list[Run]:
+        """Place a whole gang, with one number for all its runs, or nothing."""
         tasks = gang_of(first)
         chosen = choose_gang_workers(tasks, self.fleet, candidates, context)
         number = 1 + max(task.last_run for task in tasks)
--- a/src/marjoramwharf/scheduling/run_moves.py
+++ b/src/marjoramwharf/scheduling/run_moves.py
@@ -102,6 +102,7 @@
 
 
 def _is_hung(run: Run, polled_s: float) -> bool:
+    """Whether a run at full speed has made no progress for too long."""
     if run.percent >= _FULL_PERCENT or run.pace_percent < _FULL_PERCENT:
         return False
     stalled_s = polled_s - max(run.progressed_s, run.pace_changed_s)
@@ -111,6 +112,7 @@
 
 
 def _is_slow(run: Run, polled_s: float) -> bool:
+    """Whether a run is much slower than the others of its step."""
     step = run.step
     was_paced = run.pace_changed_s or run.pace_percent < _FULL_PERCENT
     if step.is_lasting or was_paced or run.started_s is None:
