--- a/src/marjoramwharf/cells/owner_link.py
+++ b/src/marjoramwharf/cells/owner_link.py
@@ -74,7 +74,7 @@
         return int(reply.body)
 
     async def _follow_owner(self, owner: CurrentOwner | None) -> None:
-        """Stay connected to one owner until the store names another one."""
+        """Stay connected to one owner until the view has another record."""
         async with trio.open_nursery() as nursery:
             if owner is not None and not self._is_self(owner):
                 self._client = self._connect(owner)
@@ -108,6 +108,7 @@
         return owner.record.entry_id == self.identity.entry_id
 
     def _connect(self, owner: CurrentOwner) -> PeerClient:
+        """Return a client that detects the end of the owner's process."""
         record = owner.record
         refusals = itertools.count(1)
 
--- a/src/marjoramwharf/cells/worker_messages.py
+++ b/src/marjoramwharf/cells/worker_messages.py
@@ -18,7 +18,8 @@
     ``ACCEPTED`` also means that the run was there already. ``FENCED``: the
     worker has seen a higher fence. ``RUN_TOO_OLD``: this run or a later one of
     its task ended or was stopped there. ``TOO_LATE``: the lease in the order
-    had ended on arrival. ``BUSY``: the worker was unhealthy and did nothing.
+    had ended on arrival. ``NO_ROOM``: the worker has too few free resources.
+    ``BUSY``: the worker was unhealthy and did nothing.
     ``OTHER_WORKER``: the address belongs to another incarnation. ``UNKNOWN``:
     there was no answer; the order may be carried out, even seconds later.
     ``NOT_SENT``: the order was not sent.
@@ -106,8 +107,8 @@
 class RunReport:
     """Report on a running run.
 
-    ``reading`` is the tail latency in ms of a task that serves, and the
-    processors in use (millicores) of any other.
+    ``reading`` is the tail latency of a serving task in ms, and the CPU in use
+    by any other in millicores.
     """
 
     task: TaskId
@@ -176,4 +177,4 @@
         *,
         timeout_s: float,
     ) -> HoldReport:
-        """Extend the leases of all runs and report on them."""
+        """Extend the leases of all runs, and return the report on them."""
--- a/src/marjoramwharf/platform/settings_file.py
+++ b/src/marjoramwharf/platform/settings_file.py
@@ -111,7 +111,7 @@
         early_ms=read_rounded('early_ms', 0),
         status_ms=read_s_as_ms('status_s', 120),
         gang_wait_ms=read_rounded('GangMs', 3_000),
-        harm_ms=read_rounded('HarmMs', 4_000),
+        max_over_target_ms=read_rounded('HarmMs', 4_000),
         far_factor=_read_field(fields, 'Bounds.FarX', float, 1.0, origin),
     )
 
--- a/src/marjoramwharf/programs/platform_entry.py
+++ b/src/marjoramwharf/programs/platform_entry.py
@@ -348,7 +348,7 @@
         with trio.move_on_after(grace_s / 4):
             if self.cell is not None:
                 await self.cell.hand_over()
-        await self.campaign.withdraw()
+        await self.campaign.resign()
         await trio.sleep(min(_READINESS_DELAY_S, grace_s / 2))
         self.api_server.drain()
         while (
