--- a/deploy/entry.py
+++ b/deploy/entry.py
@@ -1,4 +1,4 @@
-"""Starts the entry's daemon from a checkout, without an installation."""
+"""Starts the daemon of an entry from a checkout, without installing it."""
 
 from __future__ import annotations
 
--- a/tests/fuzz/__init__.py
+++ b/tests/fuzz/__init__.py
@@ -1,1 +1,1 @@
-"""Any bytes from outside end in a typed failure or a valid value."""
+"""Fuzz tests: any input yields a valid value or an error of a declared type."""
--- a/tests/fuzz/inputs.py
+++ b/tests/fuzz/inputs.py
@@ -1,4 +1,4 @@
-"""Strategies for bytes and texts from outside."""
+"""Hypothesis strategies for bytes and texts from other processes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def texts_like(example: dict[str, Any]) -> st.SearchStrategy[str]:
-    """Return texts: any, deeply nested, or the example with fields changed."""
+    """Return texts: the example with changes, any JSON, deep JSON, any text."""
     names = st.sampled_from(sorted(example))
     changes = st.dictionaries(names, trees, max_size=2)
     changed = changes.map(lambda fields: json.dumps({**example, **fields}))
@@ -37,10 +37,10 @@
 
 
 def bytes_like(example: dict[str, Any]) -> st.SearchStrategy[bytes]:
-    """Return bodies: any bytes, or those of ``texts_like``."""
-    texts = texts_like(example).map(_encoded)
+    """Return a strategy for bodies: those of ``texts_like``, or any bytes."""
+    texts = texts_like(example).map(_encode)
     return st.one_of(texts, st.binary(max_size=200))
 
 
-def _encoded(text: str) -> bytes:
+def _encode(text: str) -> bytes:
     return text.encode('utf-8', 'surrogatepass')
--- a/tests/fuzz/test_callers.py
+++ b/tests/fuzz/test_callers.py
@@ -1,4 +1,4 @@
-"""Headers and bodies of callers."""
+"""Fuzzes the headers and bodies that callers send."""
 
 from __future__ import annotations
 
@@ -69,10 +69,10 @@
 
 
 class CallerTests(unittest.TestCase):
-    """Guards against input that ends in an error without a type."""
+    """Guards against caller input that raises an undeclared error."""
 
     def setUp(self) -> None:
-        """Serve requests with an agent that no worker listens to."""
+        """Serve requests with an agent whose worker refuses connections."""
         self.agent = HttpWorkerAgent(
             'http://127.0.0.1:1',
             EntryId('e1'),
--- a/tests/fuzz/test_peers.py
+++ b/tests/fuzz/test_peers.py
@@ -1,4 +1,4 @@
-"""Frames and messages of peers."""
+"""Fuzzes the frames and messages that peers send."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 
 
 def _messages(model: type) -> st.SearchStrategy[Any]:
-    """Return messages of a struct with any values of the right types."""
+    """Return a strategy for messages with any values of the right types."""
     spec = [part for part in model.thrift_spec if part]  # type: ignore[attr-defined]
     return st.builds(
         model,
@@ -114,7 +114,7 @@
 
 
 def _changed(frame: bytes) -> st.SearchStrategy[bytes]:
-    """Return a frame with some bytes replaced, or any bytes."""
+    """Return a strategy: the frame with some bytes replaced, or any bytes."""
     positions = st.integers(0, len(frame) - 1)
     changes = st.dictionaries(positions, st.integers(0, 255), max_size=4)
 
@@ -132,7 +132,7 @@
 
 
 def _capacity_manager() -> CapacityManager:
-    """Return the capacity of an entry that owns one worker."""
+    """Return the capacity manager of an entry that owns one worker."""
     capacity_manager = CapacityManager(
         _identity('e2'),
         CapacitySettings(),
@@ -151,10 +151,10 @@
 
 
 class PeerTests(unittest.TestCase):
-    """Guards against a peer that ends the entry."""
+    """Guards against a peer whose input crashes the entry."""
 
     def setUp(self) -> None:
-        """Own a worker and serve peers."""
+        """Make a server for peers of an entry that owns one worker."""
         self.capacity_manager = _capacity_manager()
         self.server = PeerServer(
             self.capacity_manager.handlers(),
@@ -220,9 +220,9 @@
             self.assertLessEqual(ledger.free_slots_count, 8)
 
     def test_long_number_in_a_release(self) -> None:
-        """Guards against the limit on the digits of ``int``.
+        """Guards against an id whose number exceeds the digit limit of ``int``.
 
-        Hypothesis lifts the limit while it runs a test.
+        Hypothesis lifts the limit in its own tests, so this is a plain test.
         """
         self.capacity_manager.allocator.release(_LONG_ID)
 
@@ -244,7 +244,7 @@
         self,
         nursery: trio.Nursery,
     ) -> tuple[PeerClient, trio.abc.Stream]:
-        """Start a client that proves itself; return it with its stream."""
+        """Start a client that authenticates; return it with its stream."""
         near, far = memory_stream_pair()
         nursery.start_soon(self.server.serve, far)
         client = PeerClient(
--- a/tests/fuzz/test_platform.py
+++ b/tests/fuzz/test_platform.py
@@ -1,4 +1,4 @@
-"""Answers of the store and the directory, and release notes."""
+"""Fuzzes answers of the store and the directory, and release notes."""
 
 from __future__ import annotations
 
@@ -71,12 +71,12 @@
 }
 
 
-def _at(url: str) -> bytes:
+def _worker_with_url(url: str) -> bytes:
     return msgspec.json.encode({**_WORKER, 'url': url})
 
 
 class StoreTests(unittest.TestCase):
-    """Guards against store answers that end a task."""
+    """Guards against store answers that crash a task of the entry."""
 
     @FUZZ
     @example(msgspec.json.encode(_ODD), 200)
@@ -114,12 +114,12 @@
 
 
 class DirectoryTests(unittest.TestCase):
-    """Guards against a list that ends the entry."""
+    """Guards against a directory list that crashes the entry."""
 
     @FUZZ
-    @example(_at('http://w:x'))
-    @example(_at('http://a\0b'))
-    @example(_at('http://'))
+    @example(_worker_with_url('http://w:x'))
+    @example(_worker_with_url('http://a\0b'))
+    @example(_worker_with_url('http://'))
     @given(bytes_like(_WORKER))
     def test_instance(self, instance: bytes) -> None:
         """Guards against a listed worker that no agent can be made for."""
@@ -137,7 +137,7 @@
 
 
 class NoteTests(unittest.TestCase):
-    """Guards against a note that ends a program or can't be sent."""
+    """Guards against a release note that crashes a program or can't be sent."""
 
     @FUZZ
     @given(texts_like(_NOTE))
--- a/tests/fuzz/test_workers.py
+++ b/tests/fuzz/test_workers.py
@@ -1,4 +1,4 @@
-"""Answers of workers."""
+"""Fuzzes the answers of workers."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 class WorkerTests(unittest.TestCase):
-    """Guards against answers that end a task or are passed on unchecked."""
+    """Guards against answers that crash a task or reach callers unchecked."""
 
     @FUZZ
     @example(b'', 200, {b'Content-Type': 'text/\u2192'.encode()}, True)
@@ -112,7 +112,7 @@
 
 
 def _check(outcome: object) -> None:
-    """Pass an answer on to a caller."""
+    """Check that an answer can be passed on to a caller."""
     answer = outcome.answer if isinstance(outcome, SettleReply) else outcome
     if isinstance(answer, CallAnswer):
         response = Response(
--- a/tests/outcomes.py
+++ b/tests/outcomes.py
@@ -1,4 +1,4 @@
-"""A nose2 plugin that keeps the outcome of each test."""
+"""A nose2 plugin that records the outcome of each test."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class OutcomePlugin(Plugin):  # type: ignore[misc]
-    """Writes every outcome into ``OUTCOMES``."""
+    """Writes the outcome of every test to ``OUTCOMES``."""
 
     configSection = 'outcomes'
     alwaysOn = True
 
     def testOutcome(self, event: Any) -> None:  # noqa: N802
-        """Keep the outcome; the name of this hook is nose2's."""
+        """Record an outcome; nose2 calls this hook by its name."""
         name = event.test.id()
         if OUTCOMES.get(name) not in {'failed', 'error'}:
             OUTCOMES[name] = event.outcome
--- a/tests/tools/__init__.py
+++ b/tests/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the measuring tool."""
+"""Tests of the history checker and the capacity figures."""
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Demonstration, measurement and history checking."""
+"""Tools that start local fleets, put load on them and check their histories."""
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -1,7 +1,7 @@
-"""Values at the two-year target, worked out from the measured lines.
+"""Derives the figures at the two-year target from the fitted lines.
 
-``docs/CAPACITY.md`` quotes these values; its assumptions stand here as
-constants.
+``docs/CAPACITY.md`` quotes these figures; its assumptions are the constants
+of this module.
 """
 
 from __future__ import annotations
@@ -23,52 +23,55 @@
 JOBS_PER_DAY = 50_000
 CHANGES_PER_DAY = 19_000
 TEAMS_COUNT = 74
-# The brief does not give the number of services; each team has a quota of 12.
+# The target states no number of services; each team has 12 quotas.
 SERVICES_COUNT = 40
 QUOTAS_COUNT = 12 * TEAMS_COUNT
-# 100 failures and 1,500 restarts; each is listed as leaving, gone and new.
+# 100 failures and 1,500 restarts a day; each changes the directory list three
+# times: the worker is leaving, removed and added again.
 LIST_CHANGES_PER_DAY = 3 * 1_600
 _DAY_S = 86_400
 _US_PER_S = 1e6
-_KB = 1_000
-_MB = 1_000_000
+_KILO = 1_000
+_MEGA = 1_000_000
 _GRANTS_PER_WORKER = 3
-# 200 entries to a snapshot (settings), 10 commits per second to a shard.
+# A shard commits 10 log entries per second; a snapshot follows 200 of them (the
+# default setting).
 _COMMITS_PER_S = 10
-_SNAPSHOT_EVERY_S = 20
+_SNAPSHOT_INTERVAL_S = 20
 _SNAPSHOT_PART_BYTES = 262_144
-# Keep-alives every third of the lease of 5 s.
-_KEEP_ALIVE_S = 5 / 3
-# Members and notes; ownership is read every 2 s, for capacity and for jobs.
+# The store lease of 5 s is renewed after each third of it.
+_KEEP_ALIVE_INTERVAL_S = 5 / 3
+# An entry watches members and release notes. It reads the ownership records of
+# capacity and of jobs every 2 s.
 _WATCHES_PER_ENTRY = 2
 _OWNERSHIP_READS_PER_S = 2 / 2
-_CHECK_NOTE_S = 4
+_NOTE_CHECK_INTERVAL_S = 4
 
 
-def at_target(lines: Lines) -> dict[str, float]:
-    """Return the derived values by name, with the unit in the name."""
-    more = {
-        f'{entries} entries: {name}': found
+def derive_target_figures(lines: Lines) -> dict[str, float]:
+    """Return the derived figures by name; each name ends with the unit."""
+    entry_sums = {
+        f'{entries} entries: {name}': figure
         for entries in (9, 30, 120)
-        for name, found in (
-            *_capacity_bytes(lines, entries).items(),
-            *_capacity_times(lines, entries).items(),
+        for name, figure in (
+            *_entry_traffic(lines, entries).items(),
+            *_entry_processor_shares(lines, entries).items(),
         )
         if name.startswith('entry: sum of')
     }
     return {
-        **_configuration(lines),
-        **_worker(lines),
-        **_capacity_bytes(lines, ENTRIES_COUNT),
-        **_capacity_times(lines, ENTRIES_COUNT),
-        **more,
-        **_memory(lines),
-        **_shard(lines),
-        **_store(lines),
+        **_configuration_figures(lines),
+        **_worker_figures(lines),
+        **_entry_traffic(lines, ENTRIES_COUNT),
+        **_entry_processor_shares(lines, ENTRIES_COUNT),
+        **entry_sums,
+        **_memory_figures(lines),
+        **_shard_figures(lines),
+        **_store_figures(lines),
     }
 
 
-def _configuration(lines: Lines) -> dict[str, float]:
+def _configuration_figures(lines: Lines) -> dict[str, float]:
     counts = {
         'services': SERVICES_COUNT,
         'instances': WORKERS_COUNT,
@@ -76,49 +79,49 @@
     }
     changes_per_s = CHANGES_PER_DAY / _DAY_S
 
-    def total(figure: str) -> float:
+    def sum_of(figure: str) -> float:
         return sum(
             lines[name][figure].at(count) for name, count in counts.items()
         )
 
-    head_bytes = total('wire_bytes')
+    head_bytes = sum_of('wire_bytes')
     return {
-        'configuration: head KB': head_bytes / _KB,
+        'configuration: head KB': head_bytes / _KILO,
         'configuration: changes/s': changes_per_s,
         'configuration: head KB/s to an entry': head_bytes
         * changes_per_s
-        / _KB,
-        'configuration: core % of an entry': total('decode_us')
+        / _KILO,
+        'configuration: core % of an entry': sum_of('decode_us')
         * changes_per_s
         / _US_PER_S
         * 100,
-        'configuration: apply a note ms': total('apply_us') / _KB,
+        'configuration: apply a note ms': sum_of('apply_us') / _KILO,
     }
 
 
-def _worker(lines: Lines) -> dict[str, float]:
+def _worker_figures(lines: Lines) -> dict[str, float]:
     tasks = TASKS_COUNT / WORKERS_COUNT
     reply = lines['heartbeat']
-    rates = _capacity_bytes(lines, ENTRIES_COUNT)
+    rates = _entry_traffic(lines, ENTRIES_COUNT)
     entries_per_worker = ENTRIES_COUNT / WORKERS_COUNT
-    without_list = rates['entry: sum of these KB/s'] - (
+    list_per_data_centre = rates['entry: sum of these KB/s'] - (
         rates['entry: list KB/s'] * (1 - DATA_CENTRES_COUNT / ENTRIES_COUNT)
     )
     return {
         'worker: share of the entries KB/s': entries_per_worker
         * rates['entry: sum of these KB/s'],
         'worker: share, a list to each data centre KB/s': entries_per_worker
-        * without_list,
+        * list_per_data_centre,
         'worker: tasks': tasks,
-        'worker: heartbeat reply KB/s': reply['wire_bytes'].at(tasks) / _KB,
+        'worker: heartbeat reply KB/s': reply['wire_bytes'].at(tasks) / _KILO,
         'worker: tasks at which the reply is 2 KB/s': (
-            2 * _KB - reply['wire_bytes'].intercept
+            2 * _KILO - reply['wire_bytes'].intercept
         )
         / reply['wire_bytes'].slope,
     }
 
 
-def _capacity_bytes(lines: Lines, entries: int) -> dict[str, float]:
+def _entry_traffic(lines: Lines, entries: int) -> dict[str, float]:
     owned = WORKERS_COUNT / entries
     peers = entries - 1
     grants = _GRANTS_PER_WORKER * owned
@@ -131,7 +134,9 @@
         'renewals, both ways': 2 * lines['renewed']['wire_bytes'].at(grants),
         'heartbeat replies': owned * lines['heartbeat']['wire_bytes'].at(tasks),
     }
-    shown = {f'entry: {name} KB/s': rate / _KB for name, rate in rates.items()}
+    shown = {
+        f'entry: {name} KB/s': rate / _KILO for name, rate in rates.items()
+    }
     return {
         'entry: owned workers': owned,
         **shown,
@@ -139,8 +144,8 @@
     }
 
 
-def _capacity_times(lines: Lines, entries: int) -> dict[str, float]:
-    """Return the share of a core of each periodic task, each second."""
+def _entry_processor_shares(lines: Lines, entries: int) -> dict[str, float]:
+    """Return the share of a core that each periodic task of an entry takes."""
     owned = WORKERS_COUNT / entries
     peers = entries - 1
     grants = _GRANTS_PER_WORKER * owned
@@ -148,7 +153,7 @@
     summary, reply = lines['summary'], lines['heartbeat']
     renewed = lines['renewed']
     times_us = {
-        'list': _list_us(lines),
+        'list': _list_processing_us(lines),
         'summaries, build and encode': lines['ledgers']['summary_us'].at(owned)
         + peers * summary['encode_us'].at(owned),
         'summaries, decode': peers * summary['decode_us'].at(owned),
@@ -171,17 +176,21 @@
     }
 
 
-def _list_us(lines: Lines) -> float:
-    """Return the time of the list in each second, changes included."""
-    roster = lines['roster']
-    changed_us = roster['parse_us'].at(WORKERS_COUNT) + roster['apply_us'].at(
+def _list_processing_us(lines: Lines) -> float:
+    """Return the processor time for the directory list per second, in us.
+
+    The list is polled once per second. An unchanged list costs the repeated
+    poll; a changed list is parsed and applied as well.
+    """
+    costs = lines['roster']
+    changed_us = costs['parse_us'].at(WORKERS_COUNT) + costs['apply_us'].at(
         WORKERS_COUNT,
     )
     changes_per_s = LIST_CHANGES_PER_DAY / _DAY_S
-    return roster['repeat_us'].at(WORKERS_COUNT) + changes_per_s * changed_us
+    return costs['repeat_us'].at(WORKERS_COUNT) + changes_per_s * changed_us
 
 
-def _memory(lines: Lines) -> dict[str, float]:
+def _memory_figures(lines: Lines) -> dict[str, float]:
     owned = WORKERS_COUNT / ENTRIES_COUNT
     grants = _GRANTS_PER_WORKER * owned
     per_shard = BATCH_TASKS_COUNT / JOB_SHARDS_COUNT
@@ -194,13 +203,13 @@
         'one job shard': lines['shard']['resident_bytes'].at(per_shard),
         'its snapshot': lines['shard']['snapshot_bytes'].at(per_shard),
     }
-    shown = {f'memory: {name} MB': size / _MB for name, size in parts.items()}
+    shown = {f'memory: {name} MB': size / _MEGA for name, size in parts.items()}
     return {**shown, 'memory: sum MB': sum(shown.values())}
 
 
-def _shard(lines: Lines) -> dict[str, float]:
+def _shard_figures(lines: Lines) -> dict[str, float]:
     starts = STARTS_PER_S / JOB_SHARDS_COUNT / _COMMITS_PER_S
-    # Each start has an event and each end another one.
+    # A task has one event for its start and one for its end.
     events = 2 * starts
     per_shard = BATCH_TASKS_COUNT / JOB_SHARDS_COUNT
     jobs = JOBS_PER_DAY / JOB_SHARDS_COUNT
@@ -209,31 +218,31 @@
     return {
         'shard: events in a commit': events,
         'shard: log entry KB': lines['commit']['start_entry_bytes'].at(events)
-        / _KB,
+        / _KILO,
         'shard: commits, core %': lines['commit']['commit_us'].at(events)
         * _COMMITS_PER_S
         / _US_PER_S
         * 100,
-        'shard: snapshot MB': snapshot_bytes / _MB,
+        'shard: snapshot MB': snapshot_bytes / _MEGA,
         'shard: snapshot parts': snapshot_bytes / _SNAPSHOT_PART_BYTES,
-        'shard: snapshot blocks ms': shard['snapshot_us'].at(per_shard) / _KB,
+        'shard: snapshot blocks ms': shard['snapshot_us'].at(per_shard) / _KILO,
         'shard: recovery of a day of jobs ms': recovery['recovery_us'].at(jobs)
-        / _KB,
+        / _KILO,
         'shard: recovery of a day of jobs MB': recovery['read_bytes'].at(jobs)
-        / _MB,
+        / _MEGA,
         'shard: recovery store calls': recovery['store_calls'].at(jobs),
     }
 
 
-def _store(lines: Lines) -> dict[str, float]:
+def _store_figures(lines: Lines) -> dict[str, float]:
     per_shard = BATCH_TASKS_COUNT / JOB_SHARDS_COUNT
     parts = (
         lines['shard']['snapshot_bytes'].at(per_shard) / _SNAPSHOT_PART_BYTES
     )
-    # A snapshot deletes 200 log entries and the old parts in 3 calls.
-    snapshots = JOB_SHARDS_COUNT * (parts + 3) / _SNAPSHOT_EVERY_S
+    # Three more calls per snapshot delete 200 log entries and the former parts.
+    snapshots = JOB_SHARDS_COUNT * (parts + 3) / _SNAPSHOT_INTERVAL_S
     writes = {
-        'keep-alives': ENTRIES_COUNT / _KEEP_ALIVE_S,
+        'keep-alives': ENTRIES_COUNT / _KEEP_ALIVE_INTERVAL_S,
         'job commits': float(JOB_SHARDS_COUNT * _COMMITS_PER_S),
         'snapshots': snapshots,
         'notes': CHANGES_PER_DAY / _DAY_S,
@@ -241,7 +250,7 @@
     reads = {
         'waiting watches': float(ENTRIES_COUNT * _WATCHES_PER_ENTRY),
         'ownership': ENTRIES_COUNT * _OWNERSHIP_READS_PER_S,
-        'note checks': ENTRIES_COUNT / _CHECK_NOTE_S,
+        'note checks': ENTRIES_COUNT / _NOTE_CHECK_INTERVAL_S,
         'head reads of notes': 3 * CHANGES_PER_DAY / _DAY_S,
     }
     return {
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,8 +1,8 @@
-"""A demonstration on this machine: stand-ins, three entries, real requests.
+"""Demonstrates stand-ins and three entries as local processes.
 
 It accepts a release note, sends the examples, stops one entry while requests
-are under way, and checks what callers and workers saw. The last line is one
-JSON object; the exit status is 1 if a promise was broken.
+are in flight, and checks the records of callers and workers. The last line of
+the output is a JSON object; the exit status is 1 if a guarantee was violated.
 """
 
 from __future__ import annotations
@@ -21,22 +21,28 @@
 
 from marjoramwharf.links.http_client import LeanClient
 from tools.deployments import DEPLOYMENTS
-from tools.fleet import OPERATOR_TOKEN, Fleet, WorkerShape, stopping, terminate
+from tools.fleet import (
+    OPERATOR_TOKEN,
+    Fleet,
+    WorkerProfile,
+    stop_on_exit,
+    terminate,
+)
 from tools.history import (
     CallerOutcome,
     WorkerRecord,
-    check,
-    exclusive_overlaps,
-    finished_runs,
-    read_record,
-    resumed_twice,
+    count_exclusive_overlaps,
+    count_finished_runs,
+    count_repeated_starts,
+    count_violations,
+    parse_worker_record,
 )
-from tools.jobs_load import job_body, job_headers
-from tools.load import Balancer, Callers, Planned
+from tools.jobs_load import build_job_body, build_job_headers
+from tools.load import Balancer, PlannedRequest, RequestLoadGenerator
 
 _EXAMPLES = pathlib.Path('examples')
-_LIMIT_S = 38
-_JOB_WAIT_S = 20
+_TIME_LIMIT_S = 38
+_JOB_TIMEOUT_S = 20
 _TIMEOUT_MS = 4_000
 _DEPLOYMENT = replace(
     DEPLOYMENTS['consortium'],
@@ -63,64 +69,64 @@
 
 @dataclass(slots=True)
 class Demo:
-    """What the steps of the demonstration share."""
+    """The fleet, its entries that are stopping, and the results of its jobs."""
 
     fleet: Fleet
     http: httpx.AsyncClient
     balancer: Balancer
-    stopping: set[str] = field(default_factory=set)
-    done_jobs: list[dict[str, Any]] = field(default_factory=list)
+    stopping_entries: set[str] = field(default_factory=set)
+    ended_jobs: list[dict[str, Any]] = field(default_factory=list)
     accepted_count: int = 0
 
     async def accept_note(self) -> float:
-        """Accept the note; return the seconds until all entries have it."""
+        """Accept the note; return the seconds until all entries apply it."""
         started_s = trio.current_time()
-        token = {'Authorization': f'Bearer {OPERATOR_TOKEN}'}
+        headers = {'Authorization': f'Bearer {OPERATOR_TOKEN}'}
         answer = await self.http.post(
             f'{self.fleet.entries[0].url}/v1/notes',
             json=_NOTE,
-            headers=token,
+            headers=headers,
         )
         answer.raise_for_status()
         revision = answer.json()['revision']
         for entry in self.fleet.entries:
             url = f'{entry.url}/v1/notes/current'
-            while (await self._revision(url, token)) < revision:
+            while (await self._fetch_revision(url, headers)) < revision:
                 await trio.sleep(0.02)
         return trio.current_time() - started_s
 
     async def run_job(self, spec: dict[str, Any]) -> None:
-        """Submit one job and wait for its end, at any entry."""
+        """Submit a job to any entry and wait up to 20 s for its end."""
         job_id = await self._submit(spec)
-        with trio.move_on_after(_JOB_WAIT_S):
+        with trio.move_on_after(_JOB_TIMEOUT_S):
             while True:
-                state = await self._job_state(job_id)
+                state = await self._fetch_job_state(job_id)
                 if state in {'done', 'failed', 'cancelled', 'impossible'}:
-                    self.done_jobs.append({'job_id': job_id, 'state': state})
+                    self.ended_jobs.append({'job_id': job_id, 'state': state})
                     return
                 await trio.sleep(0.2)
 
     async def stop_entry(self) -> None:
-        """Carry out a planned stop of one entry."""
+        """Stop one entry as planned and wait for its end."""
         process = self.fleet.processes['entry-1']
-        self.stopping.add(process.name)
+        self.stopping_entries.add(process.name)
         terminate(process)
         while process.is_running:
             await trio.sleep(0.05)
-        _say(f'entry-1 stopped with status {process.popen.returncode}')
+        _print(f'entry-1 stopped with status {process.popen.returncode}')
 
-    async def _revision(self, url: str, token: dict[str, str]) -> int:
-        answer = await self.http.get(url, headers=token)
+    async def _fetch_revision(self, url: str, headers: dict[str, str]) -> int:
+        answer = await self.http.get(url, headers=headers)
         return int(answer.json()['revision'])
 
     async def _submit(self, spec: dict[str, Any]) -> str:
         while True:
-            entry = self.balancer.next()
+            entry = self.balancer.next_entry()
             try:
                 answer = await self.http.post(
                     f'{entry.url}/v1/jobs',
-                    json=job_body(spec),
-                    headers=job_headers(spec),
+                    json=build_job_body(spec),
+                    headers=build_job_headers(spec),
                 )
             except httpx.TransportError:
                 await trio.sleep(0.1)
@@ -130,8 +136,8 @@
                 return str(answer.json()['job_id'])
             await trio.sleep(0.3)
 
-    async def _job_state(self, job_id: str) -> str:
-        entry = self.balancer.next()
+    async def _fetch_job_state(self, job_id: str) -> str:
+        entry = self.balancer.next_entry()
         try:
             answer = await self.http.get(
                 f'{entry.url}/v1/jobs/{job_id}',
@@ -150,96 +156,104 @@
 
 
 async def _run() -> tuple[dict[str, Any], bool]:
-    shape = WorkerShape(service_ms=20)
+    profile = WorkerProfile(service_ms=20)
     with tempfile.TemporaryDirectory() as scratch:
-        fleet = Fleet(_DEPLOYMENT, shape, folder=pathlib.Path(scratch))
+        fleet = Fleet(_DEPLOYMENT, profile, folder=pathlib.Path(scratch))
         async with httpx.AsyncClient(timeout=10) as http:
-            with stopping(fleet), trio.fail_after(_LIMIT_S):
-                _say('starting the store, the list, 8 workers and 3 entries')
+            with stop_on_exit(fleet), trio.fail_after(_TIME_LIMIT_S):
+                _print('starting the store, the list, 8 workers and 3 entries')
                 await fleet.start(http)
-                return await _show(fleet, http)
+                return await _run_steps(fleet, http)
 
 
-async def _show(
+async def _run_steps(
     fleet: Fleet,
     http: httpx.AsyncClient,
 ) -> tuple[dict[str, Any], bool]:
     balancer = Balancer(fleet.entries)
     demo = Demo(fleet, http, balancer)
-    lean = LeanClient()
-    callers = Callers(
-        lean,
+    client = LeanClient()
+    load = RequestLoadGenerator(
+        client,
         balancer,
         service=_DEPLOYMENT.service,
         timeout_ms=_TIMEOUT_MS,
-        is_stopping=demo.stopping.__contains__,
+        is_stopping=demo.stopping_entries.__contains__,
     )
-    plan = _requests()
-    jobs = _load('batch-jobs.json')
+    plan = _plan_requests()
+    jobs = _read_example('batch-jobs.json')
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(balancer.poll, lean)
-        in_force_s = await demo.accept_note()
-        _say(f'release note in force on all entries after {in_force_s:.3f} s')
+        nursery.start_soon(balancer.poll_readiness, client)
+        applied_s = await demo.accept_note()
+        _print(f'release note in force on all entries after {applied_s:.3f} s')
         await trio.sleep(1)
         async with trio.open_nursery() as work:
-            work.start_soon(callers.run, iter(plan))
+            work.start_soon(load.run, iter(plan))
             for spec in jobs:
                 work.start_soon(demo.run_job, spec)
             await trio.sleep(2)
-            _say('stopping entry-1 while requests are under way')
+            _print('stopping entry-1 while requests are under way')
             work.start_soon(demo.stop_entry)
         nursery.cancel_scope.cancel()
     records = [
-        read_record(record) for record in await fleet.worker_records(http)
+        parse_worker_record(record)
+        for record in await fleet.fetch_worker_records(http)
     ]
-    return _summarise(demo, callers, records, in_force_s)
+    return _summarise(demo, load, records, applied_s)
 
 
 def _summarise(
     demo: Demo,
-    callers: Callers,
+    load: RequestLoadGenerator,
     records: list[WorkerRecord],
-    in_force_s: float,
+    applied_s: float,
 ) -> tuple[dict[str, Any], bool]:
-    violations = check([one.record for one in callers.seen], records)
+    violations = count_violations(
+        [result.record for result in load.results], records
+    )
     answered = sum(
-        one.record.outcome is CallerOutcome.DONE and one.record.is_own_answer
-        for one in callers.seen
+        result.record.outcome is CallerOutcome.DONE
+        and result.record.is_own_answer
+        for result in load.results
     )
-    runs = finished_runs(records)
+    runs = count_finished_runs(records)
     doubled = sum(count > 1 for count in runs.values())
-    done = sum(job['state'] == 'done' for job in demo.done_jobs)
+    done_count = sum(job['state'] == 'done' for job in demo.ended_jobs)
     summary = {
-        'requests': len(callers.seen),
+        'requests': len(load.results),
         'answered': answered,
         'jobs': demo.accepted_count,
-        'done_once': done - doubled,
+        'done_once': done_count - doubled,
         'overcommitted': violations.overcommitted,
-        'note_in_force_s': round(in_force_s, 3),
+        'note_in_force_s': round(applied_s, 3),
     }
-    _say(f'{len(runs)} tasks finished, {doubled} of them more than once')
-    batch_faults = exclusive_overlaps(records) + resumed_twice(records)
-    _say(f'exclusive overlaps and second resumes: {batch_faults}')
-    _say(f'broken promises: {msgspec.structs.asdict(violations)}')
+    _print(f'{len(runs)} tasks finished, {doubled} of them more than once')
+    batch_violations = count_exclusive_overlaps(
+        records
+    ) + count_repeated_starts(records)
+    _print(f'exclusive overlaps and second resumes: {batch_violations}')
+    _print(f'broken promises: {msgspec.structs.asdict(violations)}')
     is_good = (
-        violations.total + batch_faults + doubled == 0
-        and answered == len(callers.seen)
-        and done == demo.accepted_count
+        violations.total + batch_violations + doubled == 0
+        and answered == len(load.results)
+        and done_count == demo.accepted_count
     )
     return summary, is_good
 
 
-def _requests() -> list[Planned]:
+def _plan_requests() -> list[PlannedRequest]:
     plan = []
-    for index, check_body in enumerate(_load('lot-checks.json') * 3):
-        plan.append(_planned(index, check_body, key=None))
-    for number, notice in enumerate(_load('recall-notices.json')):
-        plan.append(_planned(number * 20, notice, key=notice['notice']))
+    for index, check_body in enumerate(_read_example('lot-checks.json') * 3):
+        plan.append(_plan_request(index, check_body, key=None))
+    for number, notice in enumerate(_read_example('recall-notices.json')):
+        plan.append(_plan_request(number * 20, notice, key=notice['notice']))
     return sorted(plan, key=lambda planned: planned.due_s)
 
 
-def _planned(index: int, body: dict[str, Any], *, key: str | None) -> Planned:
-    return Planned(
+def _plan_request(
+    index: int, body: dict[str, Any], *, key: str | None
+) -> PlannedRequest:
+    return PlannedRequest(
         request_id=key or f'check-{index:04}',
         due_s=index * 0.03,
         is_idempotent=key is None,
@@ -248,12 +262,12 @@
     )
 
 
-def _load(name: str) -> list[dict[str, Any]]:
-    tree: list[dict[str, Any]] = json5.loads((_EXAMPLES / name).read_text())
-    return tree
+def _read_example(name: str) -> list[dict[str, Any]]:
+    examples: list[dict[str, Any]] = json5.loads((_EXAMPLES / name).read_text())
+    return examples
 
 
-def _say(line: str) -> None:
+def _print(line: str) -> None:
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
 
--- a/tools/deployments.py
+++ b/tools/deployments.py
@@ -1,4 +1,4 @@
-"""The deployments that are measured: places, sizes and delays of today."""
+"""The deployments that are measured, with their present sizes and delays."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Sizes of one deployment; delays are one-way, in milliseconds."""
+    """The data centres and sizes of one deployment; delays are one-way."""
 
     region: str
     data_centres: tuple[str, ...]
@@ -20,15 +20,18 @@
     slots_count: int = 8
     connections_count: int = 64
 
-    def centre_of(self, index: int) -> str:
+    def get_data_centre(self, index: int) -> str:
         """Return the data centre of the worker or entry with this index."""
         return self.data_centres[index % len(self.data_centres)]
 
-    def rack_of(self, index: int) -> str:
-        """Return the rack of a worker; the racks of a centre are filled in turn."""
-        centres_count = len(self.data_centres)
-        number = index // centres_count // self.rack_size
-        return f'{self.centre_of(index)}-rack-{number}'
+    def get_rack(self, index: int) -> str:
+        """Return the rack of a worker.
+
+        Workers fill the racks of their data centre one after the other.
+        """
+        data_centres_count = len(self.data_centres)
+        rack_number = index // data_centres_count // self.rack_size
+        return f'{self.get_data_centre(index)}-rack-{rack_number}'
 
     def delay_ms(self, first: str, second: str) -> float:
         """Return the one-way delay between two data centres."""
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,4 +1,4 @@
-"""A local fleet: the stand-ins and the entries as plain processes."""
+"""Runs a local fleet: the stand-ins and the entries as child processes."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 _PEER_SECRET = 'local-peer-secret-0001'
 _START_TIMEOUT_S = 45
 _HOST = '127.0.0.1'
-_TAIL_LENGTH = 600
+_LOG_TAIL_CHARS = 600
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerShape:
-    """How the workers of a fleet behave.
+class WorkerProfile:
+    """The service times and faults of the simulated workers of a fleet.
 
-    ``service_ms`` is the median service time and ``service_sigma`` the shape
-    of its log-normal distribution.
+    Service times are log-normal: ``service_ms`` is the median and
+    ``service_sigma`` the standard deviation of the logarithm.
     """
 
     service_ms: float = 20
@@ -39,40 +39,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Address:
-    """The base URL of a process and the data centre that it is in."""
+class Endpoint:
+    """The name, base URL and data centre of a process of the fleet."""
 
     name: str
     url: str
     data_centre: str
 
 
-class ProcessEnded(Exception):
-    """A process of the fleet ended before it served."""
+class ProcessExited(Exception):
+    """A process of the fleet exited before it answered requests."""
 
     def __init__(self, process: Process) -> None:
-        """Quote the end of the process's log."""
-        tail = process.log_path.read_text()[-_TAIL_LENGTH:]
+        """Quote the last 600 characters of the process's log."""
+        tail = process.log_path.read_text()[-_LOG_TAIL_CHARS:]
         super().__init__(f'{process.name} ended: {tail}')
 
 
 class Fleet:
-    """All processes of one run, with their addresses."""
+    """Starts and stops the processes of one run and holds their endpoints."""
 
     def __init__(
         self,
         deployment: Deployment,
-        shape: WorkerShape,
+        profile: WorkerProfile,
         *,
         folder: pathlib.Path,
         entry_overrides: dict[str, Any] | None = None,
     ) -> None:
-        """Choose ports; nothing is started yet."""
+        """Choose ports, but start nothing; ``entry_overrides`` are settings."""
         self.deployment = deployment
-        self.shape = shape
+        self.profile = profile
         self.folder = folder
         self.processes: dict[str, Process] = {}
-        self._overrides = entry_overrides or {}
+        self._entry_overrides = entry_overrides or {}
         workers_count = deployment.workers_count
         entries_count = deployment.entries_count
         ports = free_ports(2 + workers_count + 2 * entries_count)
@@ -80,78 +80,82 @@
         self.directory_url = f'http://{_HOST}:{ports.pop()}'
         self._peer_ports = [ports.pop() for _ in range(entries_count)]
         self.workers = [
-            Address(
+            Endpoint(
                 f'worker-{index:02}',
                 f'http://{_HOST}:{ports.pop()}',
-                deployment.centre_of(index),
+                deployment.get_data_centre(index),
             )
             for index in range(workers_count)
         ]
         self.entries = [
-            Address(
+            Endpoint(
                 f'entry-{index}',
                 f'http://{_HOST}:{ports.pop()}',
-                deployment.centre_of(index),
+                deployment.get_data_centre(index),
             )
             for index in range(entries_count)
         ]
 
     async def start(self, http: httpx.AsyncClient) -> None:
-        """Start the stand-ins, then the entries, and wait until all serve."""
+        """Start the stand-ins, then the entries; wait until all are ready."""
         for name, url in (
             ('store', self.store_url),
             ('directory', self.directory_url),
         ):
             port = url.rsplit(':', 1)[1]
-            self._start(
+            self._start_process(
                 name, f'standins.{name}', '--host', _HOST, '--port', port
             )
         for index, worker in enumerate(self.workers):
-            path = self._write(worker.name, self._worker_config(index))
-            self._start(worker.name, 'standins.worker', '--config', str(path))
-        await self._until_served(http, 'store', f'{self.store_url}/counters')
+            path = self._write_config(
+                worker.name, self._build_worker_config(index)
+            )
+            self._start_process(
+                worker.name, 'standins.worker', '--config', str(path)
+            )
+        await self._wait_until_up(http, 'store', f'{self.store_url}/counters')
         url = f'{self.directory_url}/instances'
-        await self._until_served(http, 'directory', url)
-        for index, address in enumerate(self.workers):
-            url = f'{address.url}/record'
-            await self._until_served(http, address.name, url)
-            await self.list_worker(http, index, state='live')
+        await self._wait_until_up(http, 'directory', url)
+        for index, worker_endpoint in enumerate(self.workers):
+            url = f'{worker_endpoint.url}/record'
+            await self._wait_until_up(http, worker_endpoint.name, url)
+            await self.register_worker(http, index, state='live')
         for index, _entry in enumerate(self.entries):
             self.start_entry(index)
         for entry in self.entries:
             url = f'{entry.url}/readyz'
-            await self._until_served(http, entry.name, url)
+            await self._wait_until_up(http, entry.name, url)
 
     def start_entry(self, index: int) -> None:
-        """Start an entry, or its replacement."""
+        """Start an entry, or restart it with its first settings."""
         entry = self.entries[index]
-        former = self.processes.get(entry.name)
-        if former is not None:
-            former.start()
+        stopped = self.processes.get(entry.name)
+        if stopped is not None:
+            stopped.start()
             return
-        path = self._write(entry.name, self._entry_settings(index))
-        self._start(
+        path = self._write_config(entry.name, self._build_entry_settings(index))
+        self._start_process(
             entry.name,
             'marjoramwharf.programs.entry',
             '--settings',
             str(path),
         )
 
-    async def list_worker(
+    async def register_worker(
         self,
         http: httpx.AsyncClient,
         index: int,
         *,
         state: str,
     ) -> None:
-        """Put a worker into the platform's list."""
+        """Put a worker with this state into the directory's list."""
         worker = self.workers[index]
-        config = self._worker_config(index)
+        config = self._build_worker_config(index)
         body = {
             'worker_id': worker.name,
             'url': worker.url,
             'data_centre': worker.data_centre,
-            'rack': self.deployment.rack_of(index),
+            'rack': self.deployment.get_rack(index),
             'capacity': {
                 name: config[name]
                 for name in (
@@ -170,11 +174,11 @@
         )
         response.raise_for_status()
 
-    async def worker_records(
+    async def fetch_worker_records(
         self,
         http: httpx.AsyncClient,
     ) -> list[dict[str, Any]]:
-        """Return the history of each worker that still runs."""
+        """Fetch the history of each worker whose process is running."""
         records = []
         for worker in self.workers:
             if self.processes[worker.name].is_running:
@@ -183,11 +187,11 @@
         return records
 
     def stop(self) -> None:
-        """End all processes at once."""
+        """Kill all processes."""
         for process in self.processes.values():
             process.kill()
 
-    async def _until_served(
+    async def _wait_until_up(
         self,
         http: httpx.AsyncClient,
         name: str,
@@ -195,24 +199,24 @@
     ) -> None:
         process = self.processes[name]
         with trio.fail_after(_START_TIMEOUT_S):
-            while not await _is_served(http, url):
+            while not await _is_serving(http, url):
                 if not process.is_running:
-                    raise ProcessEnded(process)
+                    raise ProcessExited(process)
                 await trio.sleep(0.05)
 
-    def _start(self, name: str, *arguments: str) -> None:
+    def _start_process(self, name: str, *arguments: str) -> None:
         self.processes[name] = Process(
             name,
             arguments,
             self.folder / f'{name}.log',
         )
 
-    def _write(self, name: str, tree: dict[str, Any]) -> pathlib.Path:
+    def _write_config(self, name: str, tree: dict[str, Any]) -> pathlib.Path:
         path = self.folder / f'{name}.json'
         path.write_text(json.dumps(tree, indent=1))
         return path
 
-    def _worker_config(self, index: int) -> dict[str, Any]:
+    def _build_worker_config(self, index: int) -> dict[str, Any]:
         worker = self.workers[index]
         return {
             'worker_id': worker.name,
@@ -222,11 +226,11 @@
             'connections_count': self.deployment.connections_count,
             'cpu_millicores': 32_000,
             'memory_mb': 125_000,
-            'seed': self.shape.seed * 1_000 + index,
-            'service_ms': self.shape.service_ms,
-            'service_sigma': self.shape.service_sigma,
-            'loss_share': self.shape.loss_share,
-            'slowdown': self.shape.slowdown,
+            'seed': self.profile.seed * 1_000 + index,
+            'service_ms': self.profile.service_ms,
+            'service_sigma': self.profile.service_sigma,
+            'loss_share': self.profile.loss_share,
+            'slowdown': self.profile.slowdown,
             'entry_delays_ms': {
                 entry.name: self.deployment.delay_ms(
                     worker.data_centre,
@@ -236,7 +240,7 @@
             },
         }
 
-    def _entry_settings(self, index: int) -> dict[str, Any]:
+    def _build_entry_settings(self, index: int) -> dict[str, Any]:
         entry = self.entries[index]
         centres = self.deployment.data_centres
         return {
@@ -259,13 +263,13 @@
             },
             'peer_secret': _PEER_SECRET,
             'operator_token': OPERATOR_TOKEN,
-            **self._overrides,
+            **self._entry_overrides,
         }
 
 
 @contextmanager
-def stopping(fleet: Fleet) -> Iterator[Fleet]:
-    """End the fleet's processes when the block ends."""
+def stop_on_exit(fleet: Fleet) -> Iterator[Fleet]:
+    """Kill the processes of the fleet when the block ends."""
     try:
         yield fleet
     finally:
@@ -273,11 +277,11 @@
 
 
 def terminate(process: Process) -> None:
-    """Ask a process for a planned stop."""
+    """Send SIGTERM, on which an entry carries out a planned stop."""
     process.send(signal.SIGTERM)
 
 
-async def _is_served(http: httpx.AsyncClient, url: str) -> bool:
+async def _is_serving(http: httpx.AsyncClient, url: str) -> bool:
     try:
         response = await http.get(url, timeout=1)
     except httpx.TransportError:
--- a/tools/history.py
+++ b/tools/history.py
@@ -1,9 +1,9 @@
-"""Checks of a concurrent run against the promises of the system.
+"""Checks the history of a concurrent run against the system's guarantees.
 
-The inputs are what the callers saw and what the workers recorded; nothing
-comes from the scheduler's own counters. Each check counts violations, and a
-count of zero means that the promise held in this run. Times are monotonic
-seconds of one machine.
+The inputs are the records of the callers and of the workers, and never the
+counters of the scheduler itself. Each check counts violations; zero means that
+the guarantee held in this run. Times are seconds of the monotonic clock of one
+machine.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 import msgspec
 
-# A target in state leaving may receive new work for this long.
+# A worker in state leaving may still receive new calls for this long.
 LEAVING_LIMIT_S = 3.0
 
 
 @enum.unique
 class CallerOutcome(enum.Enum):
-    """What a caller had in hand at the end of a request."""
+    """What a caller knew about its request after the last attempt."""
 
     DONE = 'done'
     NOT_RUN = 'not_run'
@@ -32,9 +32,9 @@
 class CallerRecord(msgspec.Struct, frozen=True):
     """One request as its caller saw it.
 
-    ``is_own_answer`` is false when the body was not the whole answer to this
-    request. ``was_cut`` is true when the connection broke while the entry was
-    carrying out a planned stop.
+    ``is_own_answer`` is false if the body differed from the complete answer to
+    this request. ``was_cut`` is true if the connection broke while the entry
+    carried out a planned stop.
     """
 
     request_id: str
@@ -55,7 +55,7 @@
 
 
 class WorkerTask(msgspec.Struct, frozen=True):
-    """One task attempt that a worker started."""
+    """One attempt of a task that a worker started."""
 
     task_id: str
     fence: tuple[int, int]
@@ -67,7 +67,7 @@
 
 
 class WorkerRecord(msgspec.Struct, frozen=True):
-    """The history of one worker."""
+    """The capacity of one worker and all calls and tasks that it ran."""
 
     worker_id: str
     slots_count: int
@@ -82,7 +82,7 @@
 
 
 class Violations(msgspec.Struct, frozen=True):
-    """Counts of broken promises of a run of service requests."""
+    """The number of violations of each guarantee for service requests."""
 
     overcommitted: int
     lost_answers: int
@@ -98,10 +98,11 @@
         return sum(msgspec.structs.astuple(self))
 
 
-def read_record(tree: dict[str, Any]) -> WorkerRecord:
-    """Return the history that a worker stand-in shows.
+def parse_worker_record(tree: dict[str, Any]) -> WorkerRecord:
+    """Convert the JSON history of a worker stand-in to a record.
 
-    The stand-in keeps the start message of each attempt as one field.
+    The stand-in nests the start message of each attempt in the field ``start``;
+    its fields are moved up to the attempt.
     """
     tasks = [
         {
@@ -114,15 +115,15 @@
     return msgspec.convert({**tree, 'tasks': tasks}, WorkerRecord)
 
 
-def check(
+def count_violations(
     callers: Sequence[CallerRecord],
     workers: Sequence[WorkerRecord],
 ) -> Violations:
-    """Count the violations of each promise in a run."""
-    runs = runs_by_request(workers)
+    """Count the violations of each guarantee for service requests in a run."""
+    runs = count_runs_by_request(workers)
     return Violations(
-        overcommitted=sum(map(overcommitted, workers)),
-        lost_answers=lost_answers(callers, runs),
+        overcommitted=sum(map(count_overcommitments, workers)),
+        lost_answers=count_lost_answers(callers, runs),
         crossed_answers=sum(
             record.outcome is CallerOutcome.DONE and not record.is_own_answer
             for record in callers
@@ -138,11 +139,11 @@
             if record.outcome is CallerOutcome.NOT_RUN
         ),
         cut_in_flight=sum(record.was_cut for record in callers),
-        late_to_leaving=sum(map(late_to_leaving, workers)),
+        late_to_leaving=sum(map(count_late_calls, workers)),
     )
 
 
-def runs_by_request(workers: Iterable[WorkerRecord]) -> Counter[str]:
+def count_runs_by_request(workers: Iterable[WorkerRecord]) -> Counter[str]:
     """Count the calls that workers accepted for each request."""
     return Counter(
         call.request_id
@@ -152,11 +153,11 @@
     )
 
 
-def lost_answers(
+def count_lost_answers(
     callers: Iterable[CallerRecord],
     runs: Counter[str],
 ) -> int:
-    """Count requests without an answer, or with one that no run gave."""
+    """Count requests that have no answer, or one though no worker ran them."""
     return sum(
         record.outcome is CallerOutcome.NO_ANSWER
         or (
@@ -166,24 +167,28 @@
     )
 
 
-def overcommitted(worker: WorkerRecord) -> int:
-    """Count the attempts to exceed what a worker holds.
+def count_overcommitments(worker: WorkerRecord) -> int:
+    """Count calls and connections beyond the capacity of a worker.
 
-    Refusals count too: a scheduler that keeps its promise never sends more
-    than the worker holds, so that the worker never has to refuse.
+    Refusals count too: a correct scheduler never sends more than the capacity,
+    so a worker never has to refuse.
     """
-    excess = max(0, peak_calls(worker.calls) - worker.slots_count)
-    slots = max(0, worker.peak_slots_count - worker.slots_count)
-    connections = worker.peak_connections_count - worker.connections_count
+    excess_calls_count = max(
+        0, find_peak_concurrency(worker.calls) - worker.slots_count
+    )
+    excess_slots_count = max(0, worker.peak_slots_count - worker.slots_count)
+    excess_connections_count = (
+        worker.peak_connections_count - worker.connections_count
+    )
     return (
-        max(excess, slots)
-        + max(0, connections)
+        max(excess_calls_count, excess_slots_count)
+        + max(0, excess_connections_count)
         + worker.refused_calls_count
         + worker.refused_connections_count
     )
 
 
-def peak_calls(calls: Iterable[WorkerCall]) -> int:
+def find_peak_concurrency(calls: Iterable[WorkerCall]) -> int:
     """Return the highest number of calls that ran at the same time."""
     changes = []
     for call in calls:
@@ -192,15 +197,16 @@
             changes.append((call.end_s, -1))
     running = 0
     peak = 0
-    # An end sorts before a start at the same moment.
-    for _at_s, change in sorted(changes):
+    # At the same time, ends (-1) sort before starts (1), so that a freed slot
+    # counts as free.
+    for _time_s, change in sorted(changes):
         running += change
         peak = max(peak, running)
     return peak
 
 
-def late_to_leaving(worker: WorkerRecord) -> int:
-    """Count the calls accepted too long after the worker began to leave."""
+def count_late_calls(worker: WorkerRecord) -> int:
+    """Count the calls accepted over 3 s after the worker began to leave."""
     since_s = worker.leaving_since_s
     if since_s is None:
         return 0
@@ -208,30 +214,30 @@
     return sum(call.start_s > limit_s for call in worker.calls)
 
 
-def exclusive_overlaps(workers: Iterable[WorkerRecord]) -> int:
-    """Count pairs of attempts of one exclusive key that ran at once."""
-    spans: dict[str, list[WorkerTask]] = {}
+def count_exclusive_overlaps(workers: Iterable[WorkerRecord]) -> int:
+    """Count attempts that started while another of their exclusive key ran."""
+    tasks_by_key: dict[str, list[WorkerTask]] = {}
     for worker in workers:
         for task in worker.tasks:
             if task.exclusive_key is not None:
-                spans.setdefault(task.exclusive_key, []).append(task)
-    return sum(map(_overlaps, spans.values()))
+                tasks_by_key.setdefault(task.exclusive_key, []).append(task)
+    return sum(map(_count_overlaps, tasks_by_key.values()))
 
 
-def resumed_twice(workers: Iterable[WorkerRecord]) -> int:
-    """Count attempts that were started again while one ran or after its end.
+def count_repeated_starts(workers: Iterable[WorkerRecord]) -> int:
+    """Count the attempts that a task should not have had.
 
-    These are repeats of one attempt, attempts of a task that overlap another
-    one, and attempts that start after the task was finished.
+    These are repeats of an attempt under the same fence, attempts that start
+    while another one of the task runs, and attempts after the task finished.
     """
     attempts: dict[str, list[WorkerTask]] = {}
     for worker in workers:
         for task in worker.tasks:
             attempts.setdefault(task.task_id, []).append(task)
-    return sum(map(_second_starts, attempts.values()))
+    return sum(map(_count_repeats, attempts.values()))
 
 
-def finished_runs(workers: Iterable[WorkerRecord]) -> Counter[str]:
+def count_finished_runs(workers: Iterable[WorkerRecord]) -> Counter[str]:
     """Count the finished attempts of each task."""
     return Counter(
         task.task_id
@@ -241,31 +247,31 @@
     )
 
 
-def _second_starts(attempts: list[WorkerTask]) -> int:
-    found = 0
+def _count_repeats(attempts: list[WorkerTask]) -> int:
+    repeats_count = 0
     fences: set[tuple[int, int]] = set()
     busy_until_s = float('-inf')
-    for attempt in sorted(attempts, key=_start_of):
+    for attempt in sorted(attempts, key=_get_start_s):
         is_repeat = attempt.fence in fences
-        found += is_repeat or attempt.start_s < busy_until_s
+        repeats_count += is_repeat or attempt.start_s < busy_until_s
         fences.add(attempt.fence)
-        is_over = attempt.end_s is not None and attempt.phase != 'finished'
-        end_s = attempt.end_s if is_over else None
+        has_stopped = attempt.end_s is not None and attempt.phase != 'finished'
+        end_s = attempt.end_s if has_stopped else None
         busy_until_s = max(
             busy_until_s, float('inf') if end_s is None else end_s
         )
-    return found
+    return repeats_count
 
 
-def _overlaps(tasks: list[WorkerTask]) -> int:
-    found = 0
+def _count_overlaps(tasks: list[WorkerTask]) -> int:
+    overlaps_count = 0
     busy_until_s = float('-inf')
-    for task in sorted(tasks, key=_start_of):
-        found += task.start_s < busy_until_s
+    for task in sorted(tasks, key=_get_start_s):
+        overlaps_count += task.start_s < busy_until_s
         end_s = float('inf') if task.end_s is None else task.end_s
         busy_until_s = max(busy_until_s, end_s)
-    return found
+    return overlaps_count
 
 
-def _start_of(task: WorkerTask) -> float:
+def _get_start_s(task: WorkerTask) -> float:
     return task.start_s
--- a/tools/jobs_load.py
+++ b/tools/jobs_load.py
@@ -1,4 +1,4 @@
-"""Batch jobs for a local fleet, and what became of them."""
+"""Submits batch jobs to a local fleet and counts their outcomes."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from marjoramwharf.batch.job import JobPriority
 from tools.history import (
     WorkerRecord,
-    exclusive_overlaps,
-    finished_runs,
-    resumed_twice,
+    count_exclusive_overlaps,
+    count_finished_runs,
+    count_repeated_starts,
 )
 from tools.load import Balancer
 
-# Fields of a job that are headers of the submission.
+# Fields of a job that are sent as headers of the submission.
 _HEADER_FIELDS = ('team', 'idempotency_key')
 _TEAMS = ('toolroom', 'sales', 'planning')
 _EXCLUSIVE_SHARE = 0.3
 _KEYS_COUNT = 12
-_FINAL = frozenset(('done', 'failed', 'cancelled', 'impossible'))
-_RETRY_S = 0.5
-_SUBMIT_LIMIT_S = 40
-_SETTLE_LIMIT_S = 45
+_FINAL_STATES = frozenset(('done', 'failed', 'cancelled', 'impossible'))
+_RETRY_PAUSE_S = 0.5
+_SUBMIT_TIMEOUT_S = 40
+_JOB_END_TIMEOUT_S = 45
 
 
-def job_body(spec: dict[str, Any]) -> dict[str, Any]:
-    """Return the body of a submission."""
+def build_job_body(spec: dict[str, Any]) -> dict[str, Any]:
+    """Return the JSON body of the submission of a job."""
     body = {
         name: field
         for name, field in spec.items()
@@ -42,32 +42,32 @@
     return {**body, 'priority': priority.name.lower()}
 
 
-def job_headers(spec: dict[str, Any]) -> dict[str, str]:
-    """Return the headers of a submission."""
+def build_job_headers(spec: dict[str, Any]) -> dict[str, str]:
+    """Return the headers of the submission of a job."""
     return {
         'X-Team': spec['team'],
         'Idempotency-Key': spec['idempotency_key'],
     }
 
 
-def plan_jobs(
+def schedule_jobs(
     rng: random.Random,
     *,
     rate_per_s: float,
     duration_s: float,
 ) -> Iterator[tuple[float, dict[str, Any]]]:
-    """Plan jobs with exponential gaps; yields due times and specs."""
+    """Yield due times and specs of jobs with exponential gaps between them."""
     due_s = rng.expovariate(rate_per_s)
     number = 0
     while due_s < duration_s:
         number += 1
-        yield due_s, _spec(number, rng)
+        yield due_s, _make_spec(number, rng)
         due_s += rng.expovariate(rate_per_s)
 
 
 @dataclass(slots=True)
 class AcceptedJob:
-    """A job that an entry has accepted, and its latest known state."""
+    """A job that an entry has accepted, and the state that was read last."""
 
     job_id: str
     tasks_count: int
@@ -75,119 +75,120 @@
 
 
 @dataclass(slots=True)
-class JobLoad:
-    """Submits planned jobs and follows them to their ends."""
+class JobLoadGenerator:
+    """Submits scheduled jobs and polls each until it has ended."""
 
     http: httpx.AsyncClient
     balancer: Balancer
     accepted: list[AcceptedJob] = field(default_factory=list)
 
-    async def run(self, plan: Iterator[tuple[float, dict[str, Any]]]) -> None:
+    async def run(self, jobs: Iterator[tuple[float, dict[str, Any]]]) -> None:
         """Submit each job when it is due and wait until all have ended."""
         start_s = trio.current_time()
         async with trio.open_nursery() as nursery:
-            for due_s, spec in plan:
+            for due_s, spec in jobs:
                 await trio.sleep_until(start_s + due_s)
-                nursery.start_soon(self._follow, spec)
+                nursery.start_soon(self._submit_and_poll, spec)
 
-    async def _follow(self, spec: dict[str, Any]) -> None:
+    async def _submit_and_poll(self, spec: dict[str, Any]) -> None:
         job = None
-        with trio.move_on_after(_SUBMIT_LIMIT_S):
+        with trio.move_on_after(_SUBMIT_TIMEOUT_S):
             job = await self._submit(spec)
         if job is None:
             return
         self.accepted.append(job)
-        with trio.move_on_after(_SETTLE_LIMIT_S):
-            while job.state not in _FINAL:
-                await trio.sleep(_RETRY_S)
-                job.state = await self._state_of(job.job_id) or job.state
+        with trio.move_on_after(_JOB_END_TIMEOUT_S):
+            while job.state not in _FINAL_STATES:
+                await trio.sleep(_RETRY_PAUSE_S)
+                job.state = await self._fetch_state(job.job_id) or job.state
 
     async def _submit(self, spec: dict[str, Any]) -> AcceptedJob:
-        """Repeat with the same key until an entry has accepted the job."""
+        """Submit the job under one key until an entry has accepted it."""
         while True:
-            answer = await self._ask(
+            answer = await self._request(
                 'POST',
                 '/v1/jobs',
-                json=job_body(spec),
-                headers=job_headers(spec),
+                json=build_job_body(spec),
+                headers=build_job_headers(spec),
             )
             if answer is not None and answer.status_code == 201:
                 job_id = str(answer.json()['job_id'])
                 return AcceptedJob(job_id, len(spec['tasks']))
-            await trio.sleep(_RETRY_S)
+            await trio.sleep(_RETRY_PAUSE_S)
 
-    async def _state_of(self, job_id: str) -> str:
-        answer = await self._ask('GET', f'/v1/jobs/{job_id}')
+    async def _fetch_state(self, job_id: str) -> str:
+        answer = await self._request('GET', f'/v1/jobs/{job_id}')
         if answer is None or not answer.is_success:
             return ''
         return str(answer.json().get('state', ''))
 
-    async def _ask(
+    async def _request(
         self,
         method: str,
         path: str,
         **options: Any,
     ) -> httpx.Response | None:
-        url = f'{self.balancer.next().url}{path}'
+        url = f'{self.balancer.next_entry().url}{path}'
         try:
             return await self.http.request(method, url, **options)
         except httpx.TransportError:
             return None
 
 
-def job_figures(
+def compute_job_figures(
     accepted: Sequence[AcceptedJob],
     workers: Sequence[WorkerRecord],
 ) -> dict[str, int]:
-    """Count what became of the accepted jobs.
+    """Count the accepted jobs by outcome, and the violations by their tasks.
 
-    A job is done once if an entry says so and each of its tasks finished
-    once at a worker. It is lost if it has no end or lacks a finished task.
+    A job is done once if an entry reports it as done and each of its tasks
+    finished once on a worker. It is doubled if a task finished more than once,
+    and lost in all other cases.
     """
-    runs = finished_runs(workers)
-    judged = Counter(_judge(job, runs) for job in accepted)
+    runs = count_finished_runs(workers)
+    outcomes = Counter(_classify_job(job, runs) for job in accepted)
     return {
         'jobs_accepted': len(accepted),
-        'jobs_done_once': judged['done_once'],
-        'jobs_lost': judged['lost'],
-        'jobs_doubled': judged['doubled'],
-        'exclusive_overlaps': exclusive_overlaps(workers),
-        'resumed_twice': resumed_twice(workers),
+        'jobs_done_once': outcomes['done_once'],
+        'jobs_lost': outcomes['lost'],
+        'jobs_doubled': outcomes['doubled'],
+        'exclusive_overlaps': count_exclusive_overlaps(workers),
+        'resumed_twice': count_repeated_starts(workers),
     }
 
 
-def with_jobs(
+def add_job_figures(
     result: dict[str, Any],
     accepted: Sequence[AcceptedJob],
     workers: Sequence[WorkerRecord],
 ) -> dict[str, Any]:
-    """Add the figures of jobs to a report and to its broken promises."""
-    figures = job_figures(accepted, workers)
-    broken = (
+    """Add the figures of jobs to a report and to its count of violations."""
+    figures = compute_job_figures(accepted, workers)
+    violations_count = (
         figures['jobs_lost']
         + figures['jobs_doubled']
         + figures['exclusive_overlaps']
         + figures['resumed_twice']
     )
-    total = result['broken_promises'] + broken
-    runs = finished_runs(workers)
+    total = result['broken_promises'] + violations_count
+    runs = count_finished_runs(workers)
     return {
         **result,
         **figures,
         'broken_promises': total,
         'lost_jobs': {
-            job.job_id: [job.state, *_attempts_of(job, workers)]
+            job.job_id: [job.state, *_describe_attempts(job, workers)]
             for job in accepted
-            if _judge(job, runs) == 'lost'
+            if _classify_job(job, runs) == 'lost'
         },
     }
 
 
-def _attempts_of(
+def _describe_attempts(
     job: AcceptedJob,
     workers: Sequence[WorkerRecord],
 ) -> list[str]:
-    """Describe the attempts of a lost job, to find out what stopped it."""
+    """Describe the attempts of a lost job, so that its cause can be found."""
     return [
         f'{worker.worker_id} {task.task_id} {task.fence} {task.phase}'
         for worker in workers
@@ -196,16 +197,18 @@
     ]
 
 
-def _judge(job: AcceptedJob, runs: Counter[str]) -> str:
-    counts = [runs[f'{job.job_id}.{index}'] for index in range(job.tasks_count)]
-    if max(counts) > 1:
+def _classify_job(job: AcceptedJob, runs: Counter[str]) -> str:
+    finished_counts = [
+        runs[f'{job.job_id}.{index}'] for index in range(job.tasks_count)
+    ]
+    if max(finished_counts) > 1:
         return 'doubled'
-    if job.state == 'done' and min(counts) == 1:
+    if job.state == 'done' and min(finished_counts) == 1:
         return 'done_once'
     return 'lost'
 
 
-def _spec(number: int, rng: random.Random) -> dict[str, Any]:
+def _make_spec(number: int, rng: random.Random) -> dict[str, Any]:
     is_exclusive = rng.random() < _EXCLUSIVE_SHARE
     spec = {
         'team': rng.choice(_TEAMS),
--- a/tools/load.py
+++ b/tools/load.py
@@ -1,8 +1,8 @@
-"""Callers with an open-loop arrival schedule.
+"""An open-loop load generator for service requests.
 
-The schedule does not wait for answers, and a latency counts from the moment
-at which the request was due, so that a slow system can't hide behind a slow
-caller (no coordinated omission).
+The schedule does not wait for answers, and a latency counts from the time at
+which the request was due. Otherwise a slow answer would delay the requests
+after it, and the report would hide that delay (coordinated omission).
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
     LeanClient,
     NotConnected,
 )
-from tools.fleet import Address
+from tools.fleet import Endpoint
 from tools.history import CallerOutcome, CallerRecord
 
-_ATTEMPTS_LIMIT = 6
-_POLL_S = 0.3
-_SETTLE_LIMIT_S = 12
+_MAX_ATTEMPTS_COUNT = 6
+_POLL_INTERVAL_S = 0.3
+_SETTLE_TIMEOUT_S = 12
 _RETRY_PAUSE_S = 0.1
 _TEAMS = ('north', 'centre', 'south', 'coast')
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
-    """One request of the schedule; ``due_s`` counts from the start."""
+class PlannedRequest:
+    """One request of the schedule; ``due_s`` counts from its start."""
 
     request_id: str
     due_s: float
@@ -44,13 +44,13 @@
 
 
 @dataclass(slots=True)
-class Seen:
-    """What became of a planned request.
+class RequestResult:
+    """The outcome and latency of a planned request.
 
     ``is_in_time`` is true for a success within the caller's time limit.
     """
 
-    planned: Planned
+    planned: PlannedRequest
     record: CallerRecord
     latency_ms: float
     is_in_time: bool
@@ -58,28 +58,28 @@
 
 @dataclass(slots=True)
 class Balancer:
-    """The platform's balancer: takes turns among the entries that are ready."""
+    """The platform's load balancer: round-robin over the ready entries."""
 
-    entries: Sequence[Address]
-    ready: set[str] = field(default_factory=set)
-    _turn: int = 0
+    entries: Sequence[Endpoint]
+    ready_entries: set[str] = field(default_factory=set)
+    _position: int = 0
 
-    def next(self) -> Address:
-        """Return the entry for the next request."""
+    def next_entry(self) -> Endpoint:
+        """Return the entry for the next request; any entry if none is ready."""
         for _ in self.entries:
-            self._turn += 1
-            entry = self.entries[self._turn % len(self.entries)]
-            if entry.name in self.ready:
+            self._position += 1
+            entry = self.entries[self._position % len(self.entries)]
+            if entry.name in self.ready_entries:
                 return entry
-        return self.entries[self._turn % len(self.entries)]
+        return self.entries[self._position % len(self.entries)]
 
-    async def poll(self, http: LeanClient) -> None:
-        """Follow the readiness of the entries until cancelled."""
+    async def poll_readiness(self, http: LeanClient) -> None:
+        """Poll the readiness of all entries until cancelled."""
         async with trio.open_nursery() as nursery:
             for entry in self.entries:
-                nursery.start_soon(self._poll_one, http, entry)
+                nursery.start_soon(self._poll_entry, http, entry)
 
-    async def _poll_one(self, http: LeanClient, entry: Address) -> None:
+    async def _poll_entry(self, http: LeanClient, entry: Endpoint) -> None:
         while True:
             url = f'{entry.url}/readyz'
             is_ready = False
@@ -87,38 +87,38 @@
                 answer = await http.request('GET', url, timeout_s=1)
                 is_ready = answer.is_success
             if is_ready:
-                self.ready.add(entry.name)
+                self.ready_entries.add(entry.name)
             else:
-                self.ready.discard(entry.name)
-            await trio.sleep(_POLL_S)
+                self.ready_entries.discard(entry.name)
+            await trio.sleep(_POLL_INTERVAL_S)
 
 
-def schedule(
+def schedule_requests(
     rng: random.Random,
     *,
     rate_per_s: float,
     duration_s: float,
     publish_share: float = 0.1,
-) -> Iterator[Planned]:
-    """Plan requests with exponential gaps: lot checks and publications."""
+) -> Iterator[PlannedRequest]:
+    """Yield lot checks and publications with exponential gaps between them."""
     due_s = rng.expovariate(rate_per_s)
     number = 0
     while due_s < duration_s:
         number += 1
         request_id = f'r{number:06}-{rng.getrandbits(32):08x}'
         is_publish = rng.random() < publish_share
-        yield Planned(
+        yield PlannedRequest(
             request_id=request_id,
             due_s=due_s,
             is_idempotent=not is_publish,
             team=rng.choice(_TEAMS),
-            body=_body(request_id, is_publish=is_publish, rng=rng),
+            body=_make_body(request_id, is_publish=is_publish, rng=rng),
         )
         due_s += rng.expovariate(rate_per_s)
 
 
-class Callers:
-    """Sends planned requests and keeps what each caller saw."""
+class RequestLoadGenerator:
+    """Sends planned requests and records the outcome of each."""
 
     def __init__(
         self,
@@ -135,28 +135,29 @@
         self._service = service
         self._timeout_ms = timeout_ms
         self._is_stopping = is_stopping
-        self.seen: list[Seen] = []
+        self.results: list[RequestResult] = []
 
-    async def run(self, plan: Iterator[Planned]) -> None:
-        """Send every request when it is due and wait for the last answer."""
+    async def run(self, requests: Iterator[PlannedRequest]) -> None:
+        """Send each request when it is due and wait for the last answer."""
         start_s = trio.current_time()
         async with trio.open_nursery() as nursery:
-            for planned in plan:
+            for planned in requests:
                 due_s = start_s + planned.due_s
                 await trio.sleep_until(due_s)
                 nursery.start_soon(self._call, planned, due_s)
 
-    async def _call(self, planned: Planned, due_s: float) -> None:
+    async def _call(self, planned: PlannedRequest, due_s: float) -> None:
         was_cut = False
         outcome = CallerOutcome.NO_ANSWER
         is_own = True
         is_success = False
         request_id = planned.request_id
-        for attempt in range(_ATTEMPTS_LIMIT):
-            entry = self._balancer.next()
+        for attempt in range(_MAX_ATTEMPTS_COUNT):
+            entry = self._balancer.next_entry()
             if planned.is_idempotent:
-                # Each repeat is a request of its own, and its answer speaks
-                # only of itself; a key joins the repeats of the others.
+                # Each attempt is a request of its own, and its answer concerns
+                # only this attempt. Attempts of the other requests share an
+                # idempotency key and with it one outcome.
                 request_id = f'{planned.request_id}.{attempt}'
             try:
                 answer = await self._post(
@@ -166,18 +167,18 @@
                     is_first=attempt == 0,
                 )
             except CallFailed as failure:
-                is_refused = isinstance(failure, NotConnected)
-                was_cut |= self._is_stopping(entry.name) and not is_refused
+                was_not_sent = isinstance(failure, NotConnected)
+                was_cut |= self._is_stopping(entry.name) and not was_not_sent
                 await trio.sleep(_RETRY_PAUSE_S)
                 continue
             if answer.status == 202:
-                answer = await self._ask_later(planned, answer)
-            outcome, is_own = _judge(planned, answer)
+                answer = await self._poll_outcome(planned, answer)
+            outcome, is_own = _classify_answer(planned, answer)
             is_success = answer.status == 200
             break
         latency_s = trio.current_time() - due_s
-        self.seen.append(
-            Seen(
+        self.results.append(
+            RequestResult(
                 planned,
                 CallerRecord(
                     request_id,
@@ -193,8 +194,8 @@
 
     async def _post(
         self,
-        entry: Address,
-        planned: Planned,
+        entry: Endpoint,
+        planned: PlannedRequest,
         request_id: str,
         *,
         is_first: bool,
@@ -218,18 +219,18 @@
             timeout_s=2 * self._timeout_ms / 1_000 + 5,
         )
 
-    async def _ask_later(
+    async def _poll_outcome(
         self,
-        planned: Planned,
+        planned: PlannedRequest,
         answer: Answer,
     ) -> Answer:
         location = answer.headers.get('location')
-        give_up_s = trio.current_time() + _SETTLE_LIMIT_S
+        deadline_s = trio.current_time() + _SETTLE_TIMEOUT_S
         while location and answer.status == 202:
-            if trio.current_time() > give_up_s:
+            if trio.current_time() > deadline_s:
                 break
-            await trio.sleep(_POLL_S)
-            entry = self._balancer.next()
+            await trio.sleep(_POLL_INTERVAL_S)
+            entry = self._balancer.next_entry()
             with suppress(CallFailed):
                 answer = await self._http.request(
                     'GET',
@@ -240,11 +241,11 @@
         return answer
 
 
-def _judge(
-    planned: Planned,
+def _classify_answer(
+    planned: PlannedRequest,
     answer: Answer,
 ) -> tuple[CallerOutcome, bool]:
-    """Classify an answer; the stand-in's answer is the request's body."""
+    """Classify an answer; a stand-in worker answers with the request's body."""
     if answer.status == 202:
         return CallerOutcome.UNKNOWN, True
     if answer.is_success:
@@ -258,7 +259,7 @@
     return CallerOutcome.DONE, True
 
 
-def _body(
+def _make_body(
     request_id: str,
     *,
     is_publish: bool,
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -1,9 +1,9 @@
 """Measures a local fleet under load and faults.
 
 The report is one JSON object. Latencies count from the time at which each
-request was due. The counts of broken promises come from the callers and the
-workers. Baselines run in turns with the product in the same run: a release
-note switches the routing policy of all entries between the segments.
+request was due. Violations are counted in the records of the callers and the
+workers. Baselines alternate with the product in the same run: a release note
+switches the routing policy of all entries between two segments.
 """
 
 from __future__ import annotations
@@ -25,11 +25,22 @@
 from marjoramwharf.links.http_client import LeanClient
 from tools import report
 from tools.deployments import DEPLOYMENTS
-from tools.faults import FAULTS, Scene
-from tools.fleet import OPERATOR_TOKEN, Fleet, WorkerShape, stopping
-from tools.history import CallerRecord, WorkerRecord, check, read_record
-from tools.jobs_load import JobLoad, plan_jobs, with_jobs
-from tools.load import Balancer, Callers, Planned, Seen, schedule
+from tools.faults import FAULTS, FaultContext
+from tools.fleet import OPERATOR_TOKEN, Fleet, WorkerProfile, stop_on_exit
+from tools.history import (
+    CallerRecord,
+    WorkerRecord,
+    count_violations,
+    parse_worker_record,
+)
+from tools.jobs_load import JobLoadGenerator, add_job_figures, schedule_jobs
+from tools.load import (
+    Balancer,
+    PlannedRequest,
+    RequestLoadGenerator,
+    RequestResult,
+    schedule_requests,
+)
 from tools.processes import Process
 
 _PRODUCT = 'product'
@@ -38,31 +49,32 @@
     'round-robin': 'round_robin',
     'least-loaded': 'least_loaded',
 }
-_SETTLE_S = 3
-# Answers that come in the first part of a segment belong to the former one.
-_WARM_SHARE = 0.2
-# Callers wait for this many median service times, and at least 2 s.
+_SETTLE_PAUSE_S = 3
+# Share of a segment in which requests are not counted, since the answers that
+# come in it still belong to the segment before.
+_WARM_UP_SHARE = 0.2
+# Time limit of a request in median service times; it is 2 s at least.
 _TIMEOUT_SERVICE_TIMES = 14
-_LEAST_TIMEOUT_MS = 2_000
+_MIN_TIMEOUT_MS = 2_000
 
 
 @dataclass(frozen=True, slots=True)
 class Segment:
-    """A part of the run under one routing policy; times from the start."""
+    """A part of the run under one policy; times from the start of the load."""
 
     policy: str
     start_s: float
     end_s: float
 
-    def holds(self, due_s: float) -> bool:
-        """Tell whether a request counts for this segment."""
+    def includes(self, due_s: float) -> bool:
+        """Tell whether a request due at this time counts for this segment."""
         length_s = self.end_s - self.start_s
-        return self.start_s + _WARM_SHARE * length_s <= due_s < self.end_s
+        return self.start_s + _WARM_UP_SHARE * length_s <= due_s < self.end_s
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """What is run."""
+class RunPlan:
+    """The segments, load and faults of a measurement."""
 
     segments: tuple[Segment, ...]
     rate_per_s: float
@@ -74,8 +86,8 @@
 
 
 def main() -> int:
-    """Run one measurement; exit with 1 if a promise was broken."""
-    options = _parser().parse_args()
+    """Run one measurement; the exit status is 1 if a guarantee was violated."""
+    options = _build_parser().parse_args()
     result = trio.run(_measure, options)
     text = json.dumps(result, indent=1)
     sys.stdout.write(f'{text}\n')
@@ -84,7 +96,7 @@
     return 1 if result['broken_promises'] else 0
 
 
-def _parser() -> argparse.ArgumentParser:
+def _build_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(description='Measure a local fleet.')
     parser.add_argument(
         '--deployment',
@@ -113,38 +125,40 @@
     return parser
 
 
-def _plan(options: argparse.Namespace, shape: WorkerShape) -> Plan:
+def _make_plan(options: argparse.Namespace, profile: WorkerProfile) -> RunPlan:
     deployment = DEPLOYMENTS[options.deployment]
-    slots = deployment.workers_count * deployment.slots_count
+    slots_count = deployment.workers_count * deployment.slots_count
     # The mean of a log-normal distribution is above its median.
-    mean_s = shape.service_ms * math.exp(shape.service_sigma**2 / 2) / 1_000
-    names = [
+    mean_s = profile.service_ms * math.exp(profile.service_sigma**2 / 2) / 1_000
+    faults = [
         name for name in options.faults.split(',') if name not in {'', 'none'}
     ]
-    unknown = [name for name in names if name not in FAULTS]
+    unknown = [name for name in faults if name not in FAULTS]
     if unknown:
         sys.exit(f'unknown fault {unknown[0]}; known: {sorted(FAULTS)}')
-    return Plan(
-        segments=tuple(_segments(options.baseline, options.seconds)),
-        rate_per_s=_rate_of(options, slots, mean_s),
+    return RunPlan(
+        segments=tuple(_split_run(options.baseline, options.seconds)),
+        rate_per_s=_compute_rate_per_s(options, slots_count, mean_s),
         duration_s=options.seconds,
-        faults=tuple(names),
+        faults=tuple(faults),
         seed=options.seed,
         timeout_ms=max(
-            _LEAST_TIMEOUT_MS,
-            int(_TIMEOUT_SERVICE_TIMES * shape.service_ms),
+            _MIN_TIMEOUT_MS,
+            int(_TIMEOUT_SERVICE_TIMES * profile.service_ms),
         ),
         jobs_per_s=options.jobs_per_s * (options.workload != 'service'),
     )
 
 
-def _rate_of(options: argparse.Namespace, slots: int, mean_s: float) -> float:
+def _compute_rate_per_s(
+    options: argparse.Namespace, slots_count: int, mean_s: float
+) -> float:
     is_idle = options.workload == 'batch'
-    return 0 if is_idle else options.load * slots / mean_s
+    return 0 if is_idle else options.load * slots_count / mean_s
 
 
-def _segments(baselines: list[str], seconds: float) -> Iterator[Segment]:
-    """Interleave the policies in two rounds, so that drift hits them alike."""
+def _split_run(baselines: list[str], seconds: float) -> Iterator[Segment]:
+    """Alternate the policies in two rounds, so that drift affects all alike."""
     policies = [_PRODUCT, *baselines]
     rounds = policies * 2 if baselines else policies
     length_s = seconds / len(rounds)
@@ -153,71 +167,78 @@
 
 
 async def _measure(options: argparse.Namespace) -> dict[str, Any]:
-    shape = WorkerShape(service_ms=options.service_ms, seed=options.seed)
-    plan = _plan(options, shape)
+    profile = WorkerProfile(service_ms=options.service_ms, seed=options.seed)
+    plan = _make_plan(options, profile)
     with tempfile.TemporaryDirectory() as scratch:
         folder = options.keep or pathlib.Path(scratch)
         folder.mkdir(parents=True, exist_ok=True)
-        fleet = Fleet(DEPLOYMENTS[options.deployment], shape, folder=folder)
+        fleet = Fleet(DEPLOYMENTS[options.deployment], profile, folder=folder)
         limits = httpx.Limits(max_connections=2_000)
         async with httpx.AsyncClient(limits=limits, timeout=10) as http:
-            with stopping(fleet):
+            with stop_on_exit(fleet):
                 await fleet.start(http)
-                return await _run(fleet, http, plan)
+                return await _run_load(fleet, http, plan)
 
 
-async def _run(
+async def _run_load(
     fleet: Fleet,
     http: httpx.AsyncClient,
-    plan: Plan,
+    plan: RunPlan,
 ) -> dict[str, Any]:
-    scene = Scene(fleet, http, random.Random(plan.seed + 1), plan.duration_s)
+    context = FaultContext(
+        fleet, http, random.Random(plan.seed + 1), plan.duration_s
+    )
     balancer = Balancer(fleet.entries)
-    callers = _callers(scene, balancer, plan.timeout_ms)
-    jobs = JobLoad(http, balancer)
+    generator = _build_load_generator(context, balancer, plan.timeout_ms)
+    job_load = JobLoadGenerator(http, balancer)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(balancer.poll, LeanClient())
-        await _declare_service(fleet, http)
-        await trio.sleep(_SETTLE_S)
-        before = await _store_counters(fleet, http)
-        _mark_entries(fleet)
+        nursery.start_soon(balancer.poll_readiness, LeanClient())
+        await _add_service(fleet, http)
+        await trio.sleep(_SETTLE_PAUSE_S)
+        before = await _fetch_store_counters(fleet, http)
+        _mark_entry_cpu(fleet)
         started_s = trio.current_time()
         for name in plan.faults:
-            nursery.start_soon(FAULTS[name], scene)
+            nursery.start_soon(FAULTS[name], context)
         nursery.start_soon(_switch_policies, fleet, http, plan.segments)
         async with trio.open_nursery() as load:
-            load.start_soon(jobs.run, _job_plan(plan))
-            await callers.run(_arrivals(plan))
+            load.start_soon(job_load.run, _schedule_jobs(plan))
+            await generator.run(_schedule_requests(plan))
             await trio.sleep_until(started_s + plan.duration_s)
-            after = await _store_counters(fleet, http)
+            after = await _fetch_store_counters(fleet, http)
             measured = {
-                **report.store_rates(before, after, plan.duration_s),
+                **report.compute_store_rates(before, after, plan.duration_s),
                 'store_waiting_watches': after.get('watches', 0),
-                'daemons': report.daemon_costs(
-                    _entry_processes(fleet),
+                'daemons': report.compute_daemon_costs(
+                    _get_entry_processes(fleet),
                     plan.duration_s,
                 ),
             }
         nursery.cancel_scope.cancel()
-    workers = list(map(read_record, await fleet.worker_records(http)))
-    return {**_figures(plan, callers.seen, workers, jobs), **measured}
+    workers = list(
+        map(parse_worker_record, await fleet.fetch_worker_records(http))
+    )
+    return {
+        **_compute_figures(plan, generator.results, workers, job_load),
+        **measured,
+    }
 
 
-def _callers(
-    scene: Scene,
+def _build_load_generator(
+    context: FaultContext,
     balancer: Balancer,
     timeout_ms: int,
-) -> Callers:
-    return Callers(
+) -> RequestLoadGenerator:
+    return RequestLoadGenerator(
         LeanClient(),
         balancer,
-        service=scene.fleet.deployment.service,
+        service=context.fleet.deployment.service,
         timeout_ms=timeout_ms,
-        is_stopping=scene.stopping.__contains__,
+        is_stopping=context.stopping_entries.__contains__,
     )
 
 
-async def _store_counters(
+async def _fetch_store_counters(
     fleet: Fleet,
     http: httpx.AsyncClient,
 ) -> dict[str, Any]:
@@ -225,90 +246,96 @@
     return dict(answer.json())
 
 
-def _mark_entries(fleet: Fleet) -> None:
-    for process in _entry_processes(fleet):
+def _mark_entry_cpu(fleet: Fleet) -> None:
+    for process in _get_entry_processes(fleet):
         process.mark_cpu()
 
 
-def _entry_processes(fleet: Fleet) -> list[Process]:
+def _get_entry_processes(fleet: Fleet) -> list[Process]:
     return [fleet.processes[entry.name] for entry in fleet.entries]
 
 
-def _arrivals(plan: Plan) -> Iterator[Planned]:
+def _schedule_requests(plan: RunPlan) -> Iterator[PlannedRequest]:
     if not plan.rate_per_s:
         return iter(())
-    return schedule(
+    return schedule_requests(
         random.Random(plan.seed),
         rate_per_s=plan.rate_per_s,
         duration_s=plan.duration_s,
     )
 
 
-def _job_plan(plan: Plan) -> Iterator[tuple[float, dict[str, Any]]]:
+def _schedule_jobs(
+    plan: RunPlan,
+) -> Iterator[tuple[float, dict[str, Any]]]:
     if not plan.jobs_per_s:
         return iter(())
-    return plan_jobs(
+    return schedule_jobs(
         random.Random(plan.seed + 2),
         rate_per_s=plan.jobs_per_s,
         duration_s=plan.duration_s,
     )
 
 
-def _figures(
-    plan: Plan,
-    seen: list[Seen],
+def _compute_figures(
+    plan: RunPlan,
+    results: list[RequestResult],
     workers: list[WorkerRecord],
-    jobs: JobLoad,
+    job_load: JobLoadGenerator,
 ) -> dict[str, Any]:
-    everything: list[CallerRecord] = [one.record for one in seen]
+    caller_records: list[CallerRecord] = [result.record for result in results]
     by_policy = {
-        policy: _of_policy(plan, policy, seen)
-        for policy in dict.fromkeys(one.policy for one in plan.segments)
+        policy: _compute_policy_figures(plan, policy, results)
+        for policy in dict.fromkeys(segment.policy for segment in plan.segments)
     }
     figures = {
         **by_policy.pop(_PRODUCT),
-        **report.promises(check(everything, workers)),
-        'outcomes': report.outcome_counts(seen),
-        'requests': len(seen),
+        **report.build_violation_counts(
+            count_violations(caller_records, workers)
+        ),
+        'outcomes': report.count_outcomes(results),
+        'requests': len(results),
         'rate_per_s': round(plan.rate_per_s, 2),
         'baselines': by_policy,
     }
     if not plan.jobs_per_s:
         return figures
-    return with_jobs(figures, jobs.accepted, workers)
+    return add_job_figures(figures, job_load.accepted, workers)
 
 
-def _of_policy(plan: Plan, policy: str, seen: list[Seen]) -> dict[str, float]:
-    segments = [one for one in plan.segments if one.policy == policy]
+def _compute_policy_figures(
+    plan: RunPlan, policy: str, results: list[RequestResult]
+) -> dict[str, float]:
+    segments = [each for each in plan.segments if each.policy == policy]
     counted = [
-        one
-        for one in seen
-        if any(segment.holds(one.planned.due_s) for segment in segments)
+        result
+        for result in results
+        if any(segment.includes(result.planned.due_s) for segment in segments)
     ]
     duration_s = sum(
-        (1 - _WARM_SHARE) * (one.end_s - one.start_s) for one in segments
+        (1 - _WARM_UP_SHARE) * (each.end_s - each.start_s) for each in segments
     )
     kinds = {
-        'lot_checks': [one for one in counted if one.planned.is_idempotent],
+        'lot_checks': [each for each in counted if each.planned.is_idempotent],
         'publications': [
-            one for one in counted if not one.planned.is_idempotent
+            each for each in counted if not each.planned.is_idempotent
         ],
     }
     by_kind = {
-        f'p99_{kind}_ms': report.latencies(found, duration_s)['p99_ms']
-        for kind, found in kinds.items()
+        f'p99_{kind}_ms': report.latency_figures(chosen, duration_s)['p99_ms']
+        for kind, chosen in kinds.items()
     }
-    return {**report.latencies(counted, duration_s), **by_kind}
+    return {**report.latency_figures(counted, duration_s), **by_kind}
 
 
-async def _declare_service(fleet: Fleet, http: httpx.AsyncClient) -> None:
+async def _add_service(fleet: Fleet, http: httpx.AsyncClient) -> None:
     service = {
         'name': fleet.deployment.service,
         'latency_objective_ms': 1_000,
         'reserved_processors_count': 8,
         'timeout_ms': 60_000,
     }
-    await _accept(
+    await _accept_note(
         fleet,
         http,
         {'note_id': 'measure-service', 'services': {'added': [service]}},
@@ -321,21 +348,21 @@
     segments: tuple[Segment, ...],
 ) -> None:
     start_s = trio.current_time()
-    in_force = _POLICIES[_PRODUCT]
+    active = _POLICIES[_PRODUCT]
     for number, segment in enumerate(segments):
         await trio.sleep_until(start_s + segment.start_s)
-        wanted = _POLICIES[segment.policy]
-        if wanted == in_force:
+        policy = _POLICIES[segment.policy]
+        if policy == active:
             continue
-        in_force = wanted
-        await _accept(
+        active = policy
+        await _accept_note(
             fleet,
             http,
-            {'note_id': f'policy-{number}', 'policy': {'routing': wanted}},
+            {'note_id': f'policy-{number}', 'policy': {'routing': policy}},
         )
 
 
-async def _accept(
+async def _accept_note(
     fleet: Fleet,
     http: httpx.AsyncClient,
     note: dict[str, Any],
--- a/tools/placement_cost.py
+++ b/tools/placement_cost.py
@@ -1,7 +1,7 @@
 """Prints the time of one placement decision at several fleet sizes.
 
-Run by hand: ``python -m tools.placement_cost``. The slope is that of the
-logarithm of the time over the logarithm of the number of workers: 0 for a
+Run by hand: ``python -m tools.placement_cost``. The printed slope is that of
+the logarithm of the time over the logarithm of the number of workers: 0 for a
 constant cost, 1 for a linear one.
 """
 
@@ -24,13 +24,13 @@
 
 
 def main() -> None:
-    """Measure all sizes in turn, several rounds, and print the medians."""
-    indexes = {size: filled(size) for size in _SIZES}
+    """Measure all sizes in turn in five rounds and print the medians."""
+    indexes = {size: build_filled_index(size) for size in _SIZES}
     times_us: dict[int, list[float]] = {size: [] for size in _SIZES}
     for _ in range(_ROUNDS_COUNT):
-        for size_now, index in indexes.items():
-            times_us[size_now].append(decision_us(index))
-    medians = [statistics.median(measured) for measured in times_us.values()]
+        for measured_size, index in indexes.items():
+            times_us[measured_size].append(measure_decision_us(index))
+    medians = [statistics.median(rounds_us) for rounds_us in times_us.values()]
     for workers_count, median_us in zip(_SIZES, medians, strict=True):
         print(f'{workers_count} workers: {median_us:.1f} us per decision')
     slope = statistics.linear_regression(
@@ -40,10 +40,10 @@
     print(f'slope: {slope:.3f}')
 
 
-def filled(size: int) -> PlacementIndex:
-    """Return an index of workers with 23 tasks on each."""
+def build_filled_index(workers_count: int) -> PlacementIndex:
+    """Return an index of this many workers with 23 tasks on each."""
     index = PlacementIndex(lambda worker_id, task_class, now_s: 0.1)
-    for number in range(size):
+    for number in range(workers_count):
         index.add(
             Worker(
                 worker_id=WorkerId(f'w-{number}'),
@@ -55,26 +55,28 @@
             ),
             Demand(4_000, 16_000),
         )
-    rng = random.Random(size)
-    for task in range(size * _TASKS_PER_WORKER):
-        index.place(_request(f'old-{task}', rng), 0)
+    rng = random.Random(workers_count)
+    for task in range(workers_count * _TASKS_PER_WORKER):
+        index.place(_make_request(f'old-{task}', rng), 0)
     return index
 
 
-def decision_us(index: PlacementIndex) -> float:
-    """Return the mean time of one decision in microseconds."""
+def measure_decision_us(index: PlacementIndex) -> float:
+    """Return the mean time of one placement decision, in microseconds."""
     rng = random.Random(7)
-    asked = [_request(f'new-{task}', rng) for task in range(_DECISIONS_COUNT)]
+    requests = [
+        _make_request(f'new-{task}', rng) for task in range(_DECISIONS_COUNT)
+    ]
     spent_s: float = 0
-    for request in asked:
-        began_s = time.perf_counter()
-        placed = index.place(request, 0)
-        spent_s += time.perf_counter() - began_s
-        index.free(WorkerId(str(placed)), request.task_id)
+    for request in requests:
+        started_s = time.perf_counter()
+        worker_id = index.place(request, 0)
+        spent_s += time.perf_counter() - started_s
+        index.free(WorkerId(str(worker_id)), request.task_id)
     return spent_s / _DECISIONS_COUNT * 1e6
 
 
-def _request(name: str, rng: random.Random) -> PlacementRequest:
+def _make_request(name: str, rng: random.Random) -> PlacementRequest:
     return PlacementRequest(
         task_id=TaskId(name),
         job=name.partition('-')[0],
--- a/tools/planner_cost.py
+++ b/tools/planner_cost.py
@@ -1,9 +1,9 @@
-"""Processor time of the planner by the number of workers.
+"""Prints the processor time of the planner per placed task by fleet size.
 
     python -m tools.planner_cost
 
-Each fleet serves lasting tasks on most of its processors; a thirtieth as many
-jobs of 20 filling tasks wait as there are workers.
+In each fleet lasting tasks take most of the processors. One job of 20 filling
+tasks waits for every 30 workers.
 """
 
 from __future__ import annotations
@@ -28,38 +28,40 @@
 
 _SIZES = (33, 246, 1_000)
 _QUEUE = QueuePolicy('q', 'a.example', '/q/', 'presses', stretch=2)
-_SERVING_JOBS_SHARE = 0.7
-_WORKERS_PER_JOB = 30
+_SERVING_JOBS_PER_WORKER = 0.7
+_WORKERS_PER_FILLING_JOB = 30
 _US_PER_S = 1_000_000
 
 
 def main() -> None:
     """Print the cost of placing a task for each size."""
     for size in _SIZES:
-        book = JobBook()
-        fleet = Fleet({WorkerId(str(one)): _worker(one) for one in range(size)})
-        planner = Planner(book, fleet, InterferenceModel(), lambda _: None)
-        for number in range(int(size * _SERVING_JOBS_SHARE)):
-            _add(book, f's{number}', _serving(number))
-        _place(planner)
+        job_table = JobBook()
+        fleet = Fleet(
+            {WorkerId(str(index)): _make_worker(index) for index in range(size)}
+        )
+        planner = Planner(job_table, fleet, InterferenceModel(), lambda _: None)
+        for number in range(int(size * _SERVING_JOBS_PER_WORKER)):
+            _add_job(job_table, f's{number}', _make_serving_step(number))
+        _run_planner(planner)
         for worker in fleet.workers.values():
             for run in worker.runs:
                 run.phase = RunPhase.RUNNING
-        jobs = [
-            _add(book, f'f{number}', _filling(number))
-            for number in range(max(1, size // _WORKERS_PER_JOB))
+        filling_jobs = [
+            _add_job(job_table, f'f{number}', _make_filling_step(number))
+            for number in range(max(1, size // _WORKERS_PER_FILLING_JOB))
         ]
-        began_s = time.process_time()
-        placed = _place(planner)
-        cost_us = (time.process_time() - began_s) * _US_PER_S / max(1, placed)
-        record_bytes = len(encode(build_progress_record(jobs[0])))
+        started_s = time.process_time()
+        placed = _run_planner(planner)
+        cost_us = (time.process_time() - started_s) * _US_PER_S / max(1, placed)
+        record_bytes = len(encode(build_progress_record(filling_jobs[0])))
         print(
             f'{size} workers: {cost_us:.0f} us a task ({placed} placed), '
             f'{record_bytes} bytes for the progress of the first job',
         )
 
 
-def _worker(number: int) -> Worker:
+def _make_worker(number: int) -> Worker:
     listing = WorkerListing(
         worker_id=WorkerId(str(number)),
         service='presses',
@@ -73,7 +75,7 @@
     return Worker(listing, is_reachable=True)
 
 
-def _serving(number: int) -> StepRequest:
+def _make_serving_step(number: int) -> StepRequest:
     return StepRequest(
         8,
         cpu_millicores=5_500,
@@ -84,7 +86,7 @@
     )
 
 
-def _filling(number: int) -> StepRequest:
+def _make_filling_step(number: int) -> StepRequest:
     return StepRequest(
         20,
         cpu_millicores=3_500,
@@ -95,7 +97,7 @@
     )
 
 
-def _add(book: JobBook, name: str, step: StepRequest) -> Job:
+def _add_job(job_table: JobBook, name: str, step: StepRequest) -> Job:
     request = JobRequest(
         job_id=JobId(name.rjust(16, '0')),
         queue='q',
@@ -104,10 +106,10 @@
         steps=(step,),
         accepted_at_ms=0,
     )
-    return book.add(request, now_s=0, now_ms=0)
+    return job_table.add(request, now_s=0, now_ms=0)
 
 
-def _place(planner: Planner) -> int:
+def _run_planner(planner: Planner) -> int:
     plans = planner.plan({'q': _QUEUE}, now_s=0, now_ms=0)
     return sum(len(plan.runs) for plan in plans)
 
--- a/tools/platform_demo.py
+++ b/tools/platform_demo.py
@@ -1,9 +1,10 @@
-"""Runs entries against the stand-in platform as real processes.
+"""Runs entries and the stand-in platform as child processes.
 
     python -m tools.platform_demo
 
-Jobs are submitted to all entries while the owner of the cell is killed. The
-exit status is 0 if every job was done and no task was started twice.
+Jobs are submitted to all entries, and the owner of the cell is killed on the
+way. The exit status is 0 if every accepted job completed and no task was
+started twice.
 """
 
 from __future__ import annotations
@@ -32,14 +33,14 @@
 _WORKERS_COUNT = 4
 _JOBS_COUNT = 40
 _SUBMIT_PAUSE_S = 0.08
-_ANSWER_S = 3.0
-_LIMIT_S = 40.0
-_SUCCESS = 200
+_ANSWER_TIMEOUT_S = 3.0
+_TIME_LIMIT_S = 40.0
+_STATUS_OK = 200
 
 
 @dataclass
 class DemoReport:
-    """What callers and workers saw."""
+    """The accepted jobs, their final states, and the starts of their tasks."""
 
     accepted: list[str] = field(default_factory=list)
     states: Counter[str] = field(default_factory=Counter)
@@ -48,26 +49,29 @@
 
     @property
     def is_good(self) -> bool:
-        """Whether every accepted job was done, and once."""
-        all_done = self.states['completed'] == len(self.accepted)
-        return bool(self.accepted) and all_done and not self.doubled_tasks
+        """Whether all accepted jobs completed and no task was started twice."""
+        all_completed = self.states['completed'] == len(self.accepted)
+        return bool(self.accepted) and all_completed and not self.doubled_tasks
 
 
 @dataclass
 class Demo:
-    """The processes of one run."""
+    """Runs the processes of one demonstration and submits its jobs.
+
+    ``queue_urls`` holds the base URL of the queue at each entry.
+    """
 
     folder: pathlib.Path
     client: LeanClient = field(default_factory=LeanClient)
     entries: list[Process] = field(default_factory=list)
-    fronts: list[str] = field(default_factory=list)
+    queue_urls: list[str] = field(default_factory=list)
     platform: Process | None = None
     store_port: int = 0
 
     def start(self, stack: ExitStack) -> None:
-        """Start all processes; ``stack`` ends them."""
+        """Start all processes; they are killed when ``stack`` is closed."""
         ports = free_ports(4)
-        self.store_port = _free_range(_WORKERS_COUNT + 1)
+        self.store_port = _find_port_range(_WORKERS_COUNT + 1)
         self.platform = Process(
             'platform',
             (
@@ -85,18 +89,18 @@
             stack.callback(entry.kill)
 
     async def run(self) -> DemoReport:
-        """Submit jobs, kill the owner, and wait for all jobs."""
+        """Submit jobs, kill the owner meanwhile, and wait for all jobs."""
         report = DemoReport()
-        await self._wait_ready()
+        await self._wait_until_ready()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._kill_owner)
             for number in range(_JOBS_COUNT):
                 nursery.start_soon(self._submit, number, report)
                 await trio.sleep(_SUBMIT_PAUSE_S)
-        with trio.move_on_after(_LIMIT_S):
-            for name in report.accepted:
-                report.states[await self._final_state(name)] += 1
-        await self._read_starts(report)
+        with trio.move_on_after(_TIME_LIMIT_S):
+            for job_id in report.accepted:
+                report.states[await self._wait_for_final_state(job_id)] += 1
+        await self._count_starts(report)
         return report
 
     def _start_entry(self, number: int, ports: list[int]) -> Process:
@@ -117,52 +121,52 @@
             {SETTINGS_VARIABLE: str(path)},
         )
         self.entries.append(entry)
-        self.fronts.append(f'http://{host}:{ports[0]}{QUEUE_PREFIX}')
+        self.queue_urls.append(f'http://{host}:{ports[0]}{QUEUE_PREFIX}')
         return entry
 
-    async def _wait_ready(self) -> None:
-        with trio.fail_after(_LIMIT_S):
-            for front in self.fronts:
-                while not await self._is_ready(front):
+    async def _wait_until_ready(self) -> None:
+        with trio.fail_after(_TIME_LIMIT_S):
+            for queue_url in self.queue_urls:
+                while not await self._is_ready(queue_url):
                     await trio.sleep(0.1)
 
-    async def _is_ready(self, front: str) -> bool:
+    async def _is_ready(self, queue_url: str) -> bool:
         try:
-            return (await self._ask('GET', front)).is_success
+            return (await self._send('GET', queue_url)).is_success
         except CallFailed:
             return False
 
-    async def _ask(self, method: str, url: str, body: bytes = b'') -> Answer:
+    async def _send(self, method: str, url: str, body: bytes = b'') -> Answer:
         return await self.client.request(
             method,
             url,
             headers={'Host': QUEUE_HOST},
             body=body,
-            timeout_s=_ANSWER_S,
+            timeout_s=_ANSWER_TIMEOUT_S,
         )
 
     async def _submit(self, number: int, report: DemoReport) -> None:
-        """Submit a job, at another entry after each failure."""
-        name = f'{number:016x}'
+        """Submit a job; after each failure try the next entry."""
+        job_id = f'{number:016x}'
         steps = [
             {'Count': 3, 'Cpu': 500, 'EstimateMs': 300},
             {'Count': 2, 'Cpu': 500, 'EstimateMs': 300, 'After': [0]},
         ]
         body = json.dumps({'TaskSpec': 'ms=300', 'Steps': steps}).encode()
-        with trio.move_on_after(_LIMIT_S):
+        with trio.move_on_after(_TIME_LIMIT_S):
             for attempt in range(number, number + 1_000):
-                front = self.fronts[attempt % len(self.fronts)]
+                queue_url = self.queue_urls[attempt % len(self.queue_urls)]
                 try:
-                    answer = await self._ask('POST', front + name, body)
+                    answer = await self._send('POST', queue_url + job_id, body)
                 except CallFailed:
                     continue
                 if answer.is_success:
-                    report.accepted.append(name)
+                    report.accepted.append(job_id)
                     return
                 await trio.sleep(0.2)
 
     async def _kill_owner(self) -> None:
-        """Kill the entry that owns the cell, and start it again."""
+        """Kill the entry whose log says that it loaded the cell; restart it."""
         await trio.sleep(_JOBS_COUNT * _SUBMIT_PAUSE_S / 2)
         for entry in self.entries:
             if b'cell loaded' in entry.log_path.read_bytes():
@@ -171,24 +175,24 @@
                 entry.start()
                 return
 
-    async def _final_state(self, name: str) -> str:
+    async def _wait_for_final_state(self, job_id: str) -> str:
         state = ''
         while state not in {'completed', 'failed', 'cancelled'}:
-            for front in self.fronts:
+            for queue_url in self.queue_urls:
                 try:
-                    answer = await self._ask('GET', front + name)
+                    answer = await self._send('GET', queue_url + job_id)
                 except CallFailed:
                     continue
-                if answer.status == _SUCCESS:
+                if answer.status == _STATUS_OK:
                     state = json.loads(answer.body)['State']
             await trio.sleep(0.1)
         return state
 
-    async def _read_starts(self, report: DemoReport) -> None:
+    async def _count_starts(self, report: DemoReport) -> None:
         counts: Counter[str] = Counter()
         for number in range(1, _WORKERS_COUNT + 1):
             url = f'http://{HOST}:{self.store_port + number}/starts'
-            answer = await self._ask('GET', url)
+            answer = await self._send('GET', url)
             counts.update(row[0] for row in json.loads(answer.body))
         report.starts_count = counts.total()
         report.doubled_tasks = [
@@ -196,16 +200,19 @@
         ]
 
 
-def _free_range(count: int) -> int:
-    """Return the first of some ports in a row that are free now."""
+def _find_port_range(count: int) -> int:
+    """Return a port from which on ``count`` port numbers exist.
+
+    Only the first of them is known to be free.
+    """
     while True:
-        first = free_ports(1)[0]
-        if first + count < 65_536:
-            return first
+        first_port = free_ports(1)[0]
+        if first_port + count < 65_536:
+            return first_port
 
 
 async def run_demo() -> DemoReport:
-    """Run the demo in a folder that is removed afterwards."""
+    """Run the demonstration in a temporary folder."""
     with ExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         demo = Demo(pathlib.Path(folder))
@@ -214,7 +221,7 @@
 
 
 def main() -> int:
-    """Run the demo and print what was seen."""
+    """Run the demonstration and print its counts."""
     report = trio.run(run_demo)
     print(
         f'{report.states["completed"]} of {len(report.accepted)} accepted jobs '
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -1,4 +1,4 @@
-"""Plain processes of a local fleet, with their cost as the kernel counts it."""
+"""Child processes of a local fleet, with their processor time and memory."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 
 _KB_BYTES = 1_024
 _TICKS_PER_S = os.sysconf('SC_CLK_TCK')
+# Index of ``utime`` after the name in /proc/PID/stat; ``stime`` follows it.
 _USER_TICKS_FIELD = 11
 
 
 def free_ports(count: int) -> list[int]:
-    """Return distinct TCP ports of the loopback that are free now."""
+    """Return distinct TCP ports that are free on the loopback interface now."""
     sockets = [socket.socket() for _ in range(count)]
     try:
-        for one in sockets:
-            one.bind(('127.0.0.1', 0))
-        return [one.getsockname()[1] for one in sockets]
+        for unbound in sockets:
+            unbound.bind(('127.0.0.1', 0))
+        return [bound.getsockname()[1] for bound in sockets]
     finally:
-        for bound in sockets:
-            bound.close()
+        for opened in sockets:
+            opened.close()
 
 
 @dataclass(slots=True)
 class Process:
-    """One started process with its arguments and log file."""
+    """One child process; ``environment`` is added to that of the parent."""
 
     name: str
     arguments: tuple[str, ...]
@@ -44,7 +45,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start the process, or start it anew after its end."""
+        """Start the process, or restart it after its end."""
         with self.log_path.open('ab') as log:
             self.popen = subprocess.Popen(
                 [sys.executable, '-m', *self.arguments],
@@ -54,13 +55,13 @@
                 env={**os.environ, **self.environment},
             )
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal if the process runs."""
+    def send(self, signal_number: signal.Signals) -> None:
+        """Send a signal to the process if it is running."""
         if self.is_running:
-            self.popen.send_signal(number)
+            self.popen.send_signal(signal_number)
 
     def kill(self) -> None:
-        """End the process at once and wait for it."""
+        """Kill the process, also a suspended one, and wait for its end."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
         self.popen.wait()
@@ -71,7 +72,7 @@
         return self.popen.poll() is None
 
     def mark_cpu(self) -> None:
-        """Start a measurement of processor time."""
+        """Record the processor time that ``cpu_since_mark_s`` counts from."""
         self._cpu_mark_s = self.cpu_s()
 
     def cpu_since_mark_s(self) -> float:
--- a/tools/slope_capacity.py
+++ b/tools/slope_capacity.py
@@ -1,4 +1,4 @@
-"""Slopes of the capacity path: ledgers, wallet, choice, peer messages."""
+"""Slopes of the capacity path: ledgers, permit pool, router, peer messages."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
 from marjoramwharf.service.latency import LatencyEstimator
 from marjoramwharf.service.router import Router
 from tools.slope_measuring import Case, Figures, resident_bytes, time_us
-from tools.slope_workers import SERVICE, WORKER_CAPACITY, worker
+from tools.slope_workers import SERVICE, WORKER_CAPACITY, make_worker
 
 _INCARNATION = Incarnation('0123456789abcdef')
 _IDLE = LeaseReply(
     Epoch(1), leaving=False, running=(), tasks=(), connections=()
 )
 _GRANTS_PER_WORKER = 3
-_FAR_S = 1e9
-_LENGTH_BYTES = 4
+_NEVER_EXPIRES_S = 1e9
+_LENGTH_PREFIX_BYTES = 4
 
 
-def _ledger(
+def _open_ledger(
     number: int, capacity: Capacity, connections_per_session: int
 ) -> WorkerLedger:
     ledger = WorkerLedger(
-        worker(number, capacity),
+        make_worker(number, capacity),
         Epoch(1),
         grant_ttl_s=3,
         connections_per_session=connections_per_session,
@@ -60,12 +60,12 @@
     return lent.grant_id
 
 
-def ledgers(workers_count: int) -> Figures:
-    """Measure the ledgers of an owner, with three grants each."""
+def measure_ledgers(workers_count: int) -> Figures:
+    """Measure the ledgers of this many workers, with three grants each."""
     before = resident_bytes()
     allocator = CapacityAllocator()
     for number in range(workers_count):
-        ledger = _ledger(number, WORKER_CAPACITY, 5)
+        ledger = _open_ledger(number, WORKER_CAPACITY, 5)
         allocator.ledgers[ledger.worker.worker_id] = ledger
         for borrower in range(_GRANTS_PER_WORKER):
             _lend(ledger, borrower)
@@ -82,15 +82,15 @@
     }
 
 
-def ledger_grants(grants_count: int) -> Figures:
-    """Measure one ledger by grants; the target is 8, one for each slot."""
+def measure_ledger_grants(grants_count: int) -> Figures:
+    """Measure one ledger by its grants; the target is 8, one for each slot."""
     capacity = Capacity(2 * grants_count, 1_000_000, 32_000, 125_000)
     before = resident_bytes()
-    # Many ledgers, so that the memory is well above the resolution.
-    many = [_ledger(number, capacity, 2_048) for number in range(200)]
-    for ledger in many:
+    # 200 ledgers take much more memory than the resolution of the measurement.
+    opened = [_open_ledger(number, capacity, 2_048) for number in range(200)]
+    for ledger in opened:
         grant_ids = [_lend(ledger, count % 60) for count in range(grants_count)]
-    held_bytes = (resident_bytes() - before) / len(many)
+    held_bytes = (resident_bytes() - before) / len(opened)
     borrower = EntryId('entry-00')
 
     def lend_and_return() -> None:
@@ -107,7 +107,7 @@
     }
 
 
-def _permit_pool(grants_count: int) -> PermitPool:
+def _fill_permit_pool(grants_count: int) -> PermitPool:
     running = frozenset((SERVICE,))
     permit_pool = PermitPool(lambda worker_id: running)
     for number in range(grants_count):
@@ -119,31 +119,31 @@
                 epoch=Epoch(1),
                 slots_count=4,
                 connections_count=5,
-                expires_at_s=_FAR_S,
+                expires_at_s=_NEVER_EXPIRES_S,
             ),
             0,
         )
     return permit_pool
 
 
-def wallet_grants(grants_count: int) -> Figures:
-    """Measure a wallet with one grant of four slots on each worker."""
+def measure_permit_pool(grants_count: int) -> Figures:
+    """Measure a permit pool with one grant of four slots on each worker."""
     before = resident_bytes()
-    permit_pool = _permit_pool(grants_count)
+    permit_pool = _fill_permit_pool(grants_count)
     held_bytes = resident_bytes() - before
 
-    def keep() -> None:
+    def renew_all() -> None:
         permit_pool.drop_expired(1)
         permit_pool.withdraw_idle(1, idle_after_s=3)
         for grant_id in permit_pool.renewable_grants():
-            permit_pool.renew(grant_id, _FAR_S)
+            permit_pool.renew(grant_id, _NEVER_EXPIRES_S)
 
-    return {'resident_bytes': held_bytes, 'renewal_us': time_us(keep)}
+    return {'resident_bytes': held_bytes, 'renewal_us': time_us(renew_all)}
 
 
-def choice(workers_count: int) -> Figures:
-    """Measure the choice of a worker and the return of its permit."""
-    permit_pool = _permit_pool(workers_count)
+def measure_worker_choice(workers_count: int) -> Figures:
+    """Measure the choice of a worker and the return of the permit for it."""
+    permit_pool = _fill_permit_pool(workers_count)
     latencies = LatencyEstimator()
     for number in range(workers_count):
         worker_id = WorkerId(f'worker-{number:05}')
@@ -164,9 +164,9 @@
     return {'choice_us': time_us(choose, count=2_000)}
 
 
-def _frame_figures(message: Any) -> Figures:
+def _measure_frame(message: Any) -> Figures:
     frame = encode_frame(pack(1, message))
-    body = frame[_LENGTH_BYTES:]
+    body = frame[_LENGTH_PREFIX_BYTES:]
     return {
         'wire_bytes': len(frame),
         'encode_us': time_us(lambda: encode_frame(pack(1, message)), count=3),
@@ -174,9 +174,9 @@
     }
 
 
-def summary(workers_count: int) -> Figures:
-    """Measure a Summary of free workers in its frame."""
-    return _frame_figures(
+def measure_summary(workers_count: int) -> Figures:
+    """Measure the frame of a Summary of workers with free slots."""
+    return _measure_frame(
         ttypes.Summary(
             entry_id='entry-00',
             incarnation=_INCARNATION,
@@ -194,9 +194,9 @@
     )
 
 
-def borrow(workers_count: int) -> Figures:
-    """Measure a Borrow that names workers in its frame."""
-    return _frame_figures(
+def measure_borrow(workers_count: int) -> Figures:
+    """Measure the frame of a Borrow that asks for slots of named workers."""
+    return _measure_frame(
         ttypes.Borrow(
             borrower='entry-00',
             incarnation=_INCARNATION,
@@ -210,9 +210,9 @@
     )
 
 
-def renewed(grants_count: int) -> Figures:
-    """Measure the reply to a renewal in its frame."""
-    return _frame_figures(
+def measure_renewed(grants_count: int) -> Figures:
+    """Measure the frame of the reply to a renewal of grants."""
+    return _measure_frame(
         ttypes.Renewed(
             renewed=[
                 ttypes.GrantMessage(
@@ -231,11 +231,19 @@
 
 
 CASES = {
-    'ledgers': Case(ledgers, 'worker', (87, 330, 1_300, 5_200), (87, 5_200)),
-    'ledger_grants': Case(ledger_grants, 'grant', (8, 32, 128), (8,)),
-    'wallet': Case(wallet_grants, 'grant', (330, 1_300, 5_200), (330, 5_200)),
-    'choice': Case(choice, 'worker', (33, 330, 1_300, 5_200), (5_200,)),
-    'summary': Case(summary, 'worker', (33, 330, 1_300, 5_200), (87, 5_200)),
-    'borrow': Case(borrow, 'worker', (8, 64, 512), (8,)),
-    'renewed': Case(renewed, 'grant', (8, 64, 512), (8, 87)),
+    'ledgers': Case(
+        measure_ledgers, 'worker', (87, 330, 1_300, 5_200), (87, 5_200)
+    ),
+    'ledger_grants': Case(measure_ledger_grants, 'grant', (8, 32, 128), (8,)),
+    'wallet': Case(
+        measure_permit_pool, 'grant', (330, 1_300, 5_200), (330, 5_200)
+    ),
+    'choice': Case(
+        measure_worker_choice, 'worker', (33, 330, 1_300, 5_200), (5_200,)
+    ),
+    'summary': Case(
+        measure_summary, 'worker', (33, 330, 1_300, 5_200), (87, 5_200)
+    ),
+    'borrow': Case(measure_borrow, 'worker', (8, 64, 512), (8,)),
+    'renewed': Case(measure_renewed, 'grant', (8, 64, 512), (8, 87)),
 }
--- a/tools/slope_measuring.py
+++ b/tools/slope_measuring.py
@@ -1,4 +1,4 @@
-"""Helpers of the slope measurements: memory, times and straight lines."""
+"""Measures memory and times, and fits straight lines to them."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One sweep: ``measure`` returns the figures of one size.
+    """One sweep over sizes; ``measure`` returns the figures of one size.
 
-    ``per`` names what the size counts, ``targets`` are the sizes at the
-    two-year target that the lines are evaluated at.
+    ``per`` names what a size counts. ``targets`` are the sizes at the two-year
+    target, at which the fitted lines are evaluated.
     """
 
     measure: Callable[[int], Figures]
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """A least-squares line through the figures of a sweep.
+    """A least-squares line through the points of one figure.
 
-    ``error`` is the largest distance of a measured point from the line, as a
-    share of that point.
+    ``error`` is the largest relative error: the distance of a measured point
+    from the line as a share of that point.
     """
 
     slope: float
@@ -43,58 +43,63 @@
     error: float
 
     def at(self, size: float) -> float:
-        """Return the value of the line at a size."""
+        """Evaluate the line at a size."""
         return self.intercept + self.slope * size
 
 
-def line_through(points: Mapping[int, float]) -> Line:
-    """Fit a line; a single point gives a constant.
+def fit_line(points: Mapping[int, float]) -> Line:
+    """Fit a line to the figure measured at each size.
 
-    Each point is weighted with the inverse of its size, since errors grow
-    with the size; the large sizes would otherwise hide the small ones.
+    A single point gives a constant. Each point is weighted with the inverse of
+    its size: errors grow with the size, and the large sizes would otherwise
+    hide the small ones.
     """
     if len(points) == 1:
         return Line(0, next(iter(points.values())), 0)
     weights = {size: 1 / size for size in points}
-    total = sum(weights.values())
-    mean_x = sum(weights[size] * size for size in points) / total
-    mean_y = sum(weights[size] * seen for size, seen in points.items()) / total
-    spread = sum(weights[size] * (size - mean_x) ** 2 for size in points)
+    total_weight = sum(weights.values())
+    mean_x = sum(weights[size] * size for size in points) / total_weight
+    mean_y = (
+        sum(weights[size] * measured for size, measured in points.items())
+        / total_weight
+    )
+    variance_x = sum(weights[size] * (size - mean_x) ** 2 for size in points)
     slope = (
         sum(
-            weights[size] * (size - mean_x) * (seen - mean_y)
-            for size, seen in points.items()
+            weights[size] * (size - mean_x) * (measured - mean_y)
+            for size, measured in points.items()
         )
-        / spread
+        / variance_x
     )
     intercept = mean_y - slope * mean_x
     largest_error = max(
-        abs(intercept + slope * size - seen) / max(abs(seen), 1)
-        for size, seen in points.items()
+        abs(intercept + slope * size - measured) / max(abs(measured), 1)
+        for size, measured in points.items()
     )
     return Line(slope, intercept, largest_error)
 
 
 def resident_bytes() -> int:
-    """Return the resident memory of this process."""
+    """Return the resident memory of this process after a garbage collection."""
     gc.collect()
     status = pathlib.Path('/proc/self/status').read_text(encoding='ascii')
     for line in status.splitlines():
-        name, _, rest = line.partition(':')
+        name, _, amount = line.partition(':')
         if name == 'VmRSS':
-            return int(rest.split()[0]) * _BYTES_PER_KB
-    raise RuntimeError('no VmRSS in /proc/self/status')
+            return int(amount.split()[0]) * _BYTES_PER_KB
+    raise RuntimeError('/proc/self/status has no VmRSS line')
 
 
 def time_us(call: Callable[[], object], *, count: int = 1) -> float:
     """Return the least of five times of a call, in us of processor time.
 
-    Other load on the machine only adds time.
+    Each of the five is the mean of ``count`` calls. The least is taken since
+    other load on the machine only adds time.
     """
     times_us = []
     for _ in range(_ROUNDS_COUNT):
-        began_s = time.process_time()
+        started_s = time.process_time()
         deque((call() for _ in range(count)), maxlen=0)
-        spent_s = time.process_time() - began_s
+        spent_s = time.process_time() - started_s
         times_us.append(spent_s / count * 1e6)
     return min(times_us)
--- a/tools/slope_server.py
+++ b/tools/slope_server.py
@@ -1,7 +1,7 @@
-"""A thread that answers every HTTP request on loopback with one body.
+"""An HTTP server on loopback that answers every request with the same body.
 
-The caller measures the processor time of its own thread, so the answers cost
-it nothing.
+It runs in a thread of its own. The caller measures the processor time of its
+own thread, so that the time of the server is not counted.
 """
 
 from __future__ import annotations
@@ -9,22 +9,22 @@
 import socket
 import threading
 
-_RECEIVED_BYTES = 65_536
+_CHUNK_BYTES = 65_536
 
 
 def serve_body(body: bytes) -> str:
-    """Serve one connection in a daemon thread and return the base URL."""
+    """Start a daemon thread that serves one connection; return the base URL."""
     listener = socket.create_server(('127.0.0.1', 0))
     port = listener.getsockname()[1]
     threading.Thread(
-        target=_answer_all,
+        target=_serve_connection,
         args=(listener, body),
         daemon=True,
     ).start()
     return f'http://127.0.0.1:{port}'
 
 
-def _answer_all(listener: socket.socket, body: bytes) -> None:
+def _serve_connection(listener: socket.socket, body: bytes) -> None:
     head = (
         f'HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n'
         f'content-length: {len(body)}\r\n\r\n'
@@ -37,10 +37,13 @@
 
 
 def _read_request(connection: socket.socket) -> bool:
-    """Read a request whose JSON body ends with a brace."""
+    """Read one request, whose JSON body ends with a brace.
+
+    Returns ``False`` if the caller has closed the connection.
+    """
     received = b''
     while not received.endswith(b'}'):
-        chunk = connection.recv(_RECEIVED_BYTES)
+        chunk = connection.recv(_CHUNK_BYTES)
         if not chunk:
             return False
         received += chunk
--- a/tools/slope_state.py
+++ b/tools/slope_state.py
@@ -37,13 +37,13 @@
 from tools.slope_measuring import Case, Figures, resident_bytes, time_us
 
 _TEAMS_COUNT = 74
-_FAR_S = 1e9
+_NEVER_EXPIRES_S = 1e9
 _TASKS_PER_JOB = 3
 _OWNER_KEY = '/own/jobs/3'
 
 
-def admission(waiting_count: int) -> Figures:
-    """Measure the queue with 74 teams and this many waiting requests."""
+def measure_admission(waiting_count: int) -> Figures:
+    """Measure the admission queue with this many requests of 74 teams."""
     before = resident_bytes()
     queue = AdmissionQueue(limit=2 * waiting_count, team_share=0.5)
     for number in range(waiting_count):
@@ -54,9 +54,9 @@
 
     def offer_and_pop() -> None:
         _offer(queue, next(numbers))
-        found = queue.pop(1, service_time_s=0)
-        assert found is not None
-        popped.append(found)
+        queued = queue.pop(1, service_time_s=0)
+        assert queued is not None
+        popped.append(queued)
 
     def discard() -> None:
         queue.discard(popped[0])
@@ -76,14 +76,14 @@
         body=b'',
         content_type='application/json',
         arrived_at_s=0,
-        deadline_s=_FAR_S,
+        deadline_s=_NEVER_EXPIRES_S,
     )
     queue.offer(
         QueuedRequest(request), now_s=0, service_time_s=0, release_rate_per_s=0
     )
 
 
-def _services(count: int) -> tuple[Service, ...]:
+def _make_services(count: int) -> tuple[Service, ...]:
     return tuple(
         Service(
             name=f'service-{number:04}',
@@ -95,7 +95,7 @@
     )
 
 
-def _configuration_figures(
+def _measure_configuration(
     configuration: Configuration,
     note: ReleaseNote,
 ) -> Figures:
@@ -109,7 +109,7 @@
     }
 
 
-def _service_note() -> ReleaseNote:
+def _make_service_note() -> ReleaseNote:
     change = ServiceChange(name='service-0000', timeout_ms=2_500)
     return ReleaseNote(
         note_id='note-00001',
@@ -119,29 +119,29 @@
     )
 
 
-def configuration_services(services_count: int) -> Figures:
-    """Measure a configuration of services only."""
-    return _configuration_figures(
-        Configuration(services=_services(services_count)),
-        _service_note(),
+def measure_services(services_count: int) -> Figures:
+    """Measure a configuration that holds this many services only."""
+    return _measure_configuration(
+        Configuration(services=_make_services(services_count)),
+        _make_service_note(),
     )
 
 
-def configuration_instances(instances_count: int) -> Figures:
-    """Measure a configuration of instances and one service."""
-    return _configuration_figures(
+def measure_instances(instances_count: int) -> Figures:
+    """Measure a configuration of this many instances and one service."""
+    return _measure_configuration(
         Configuration(
-            services=_services(1),
+            services=_make_services(1),
             instances=tuple(
                 f'worker-{number:05}' for number in range(instances_count)
             ),
         ),
-        _service_note(),
+        _make_service_note(),
     )
 
 
-def configuration_quotas(quotas_count: int) -> Figures:
-    """Measure a configuration of quotas and one service."""
+def measure_quotas(quotas_count: int) -> Figures:
+    """Measure a configuration of this many quotas and one service."""
     quotas = tuple(
         Quota(
             team=f'team-{number:05}',
@@ -156,8 +156,8 @@
         service='service-0000',
         slots_count=50,
     )
-    return _configuration_figures(
-        Configuration(services=_services(1), quotas=quotas),
+    return _measure_configuration(
+        Configuration(services=_make_services(1), quotas=quotas),
         ReleaseNote(
             note_id='note-00001',
             author='operator',
@@ -167,7 +167,7 @@
     )
 
 
-def _submitted(number: int, tasks_count: int = _TASKS_PER_JOB) -> JobSubmitted:
+def _make_job(number: int, tasks_count: int = _TASKS_PER_JOB) -> JobSubmitted:
     spec = JobSpec(
         team=TeamId(f'team-{number % _TEAMS_COUNT}'),
         idempotency_key=f'order-{number:08}',
@@ -176,7 +176,7 @@
     return JobSubmitted(JobId(f'3-{number:018x}'), spec, 1_700_000_000_000)
 
 
-def _started(submitted: JobSubmitted, attempt: int) -> TaskStarted:
+def _make_start(submitted: JobSubmitted, attempt: int) -> TaskStarted:
     job = Job(submitted.job_id, submitted.spec, submitted.submitted_at_ms)
     worker_id = WorkerId(f'worker-{attempt % 5_200:05}')
     task_id = job.task_ids[0]
@@ -185,14 +185,14 @@
     return TaskStarted(task_id, attempt, placement)
 
 
-def shard_tasks(tasks_count: int) -> Figures:
-    """Measure a shard's state; every task is placed, one to a job."""
+def measure_shard(tasks_count: int) -> Figures:
+    """Measure the state of a shard whose one-task jobs have all started."""
     before = resident_bytes()
     state = ShardState()
     for number in range(tasks_count):
-        submitted = _submitted(number, 1)
+        submitted = _make_job(number, 1)
         apply_event(state, submitted, UndoLog(state))
-        apply_event(state, _started(submitted, number + 1), UndoLog(state))
+        apply_event(state, _make_start(submitted, number + 1), UndoLog(state))
     held_bytes = resident_bytes() - before
     return {
         'resident_bytes': held_bytes,
@@ -228,45 +228,49 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(journal.run)
         for group in groups:
-            await journal.commit(_proposal(group))
+            await journal.commit(_propose(group))
         nursery.cancel_scope.cancel()
 
 
-def _proposal(events: Sequence[Event]) -> Proposal:
+def _propose(events: Sequence[Event]) -> Proposal:
     return lambda state: events
 
 
-def commit(events_count: int) -> Figures:
-    """Measure one commit of starts; the store's own time is not in it."""
+def measure_commit(events_count: int) -> Figures:
+    """Measure the commit of one log entry with this many events.
+
+    The store is in memory, so that its own time does not count; the time to
+    open the journal is subtracted.
+    """
     store = MemoryStore()
-    submitted = [_submitted(number, 1) for number in range(events_count)]
+    submitted = [_make_job(number, 1) for number in range(events_count)]
     trio.run(_commit_groups, store, [list(submitted)])
     starts: list[Event] = [
-        _started(job, number + 1) for number, job in enumerate(submitted)
+        _make_start(job, number + 1) for number, job in enumerate(submitted)
     ]
     before = len(store.state.stored)
-    began = time_us(
+    whole_us = time_us(
         lambda: trio.run(_commit_groups, MemoryStore(), [list(submitted)]),
     )
-    empty = time_us(lambda: trio.run(_commit_groups, MemoryStore(), []))
+    opening_us = time_us(lambda: trio.run(_commit_groups, MemoryStore(), []))
     trio.run(_commit_groups, store, [starts])
     assert len(store.state.stored) == before + 1
-    body = max(store.state.below('/jobs/'), key=_key).body
+    body = max(store.state.below('/jobs/'), key=_get_key).body
     return {
         'start_entry_bytes': len(body),
         'submit_bytes': len(msgpack.encode(submitted)),
-        'commit_us': began - empty,
+        'commit_us': whole_us - opening_us,
     }
 
 
-def _key(stored: object) -> str:
+def _get_key(stored: object) -> str:
     return str(getattr(stored, 'key', ''))
 
 
-def recovery(jobs_count: int) -> Figures:
-    """Measure the takeover of a shard, from the store's last snapshot on."""
+def measure_recovery(jobs_count: int) -> Figures:
+    """Measure how a new owner recovers a shard from its snapshot and log."""
     store = MemoryStore()
-    jobs = [_submitted(number) for number in range(jobs_count)]
+    jobs = [_make_job(number) for number in range(jobs_count)]
     group_size = max(1, jobs_count // 230)
     groups: list[list[Event]] = [
         list(jobs[start : start + group_size])
@@ -274,7 +278,7 @@
     ]
     trio.run(_commit_groups, store, groups)
     calls_before = store.reads_count
-    kept = store.state.below('/jobs/')
+    stored_values = store.state.below('/jobs/')
 
     def recover() -> None:
         trio.run(_open_journal, store)
@@ -285,36 +289,42 @@
     assert len(journal.state.jobs) == jobs_count
     calls_count = store.reads_count - calls_before
     return {
-        # One of the calls reads the record of the owner.
+        # One of these calls reads the ownership record.
         'store_calls': calls_count,
-        'keys': len(kept),
-        'read_bytes': sum(len(stored.body) for stored in kept),
+        'keys': len(stored_values),
+        'read_bytes': sum(len(stored.body) for stored in stored_values),
         'resident_bytes': held_bytes,
         'recovery_us': time_us(recover),
     }
 
 
-def placement(workers_count: int) -> Figures:
-    """Measure a placement decision with 23 tasks on each worker."""
+def measure_placement(workers_count: int) -> Figures:
+    """Measure a placement decision among workers with 23 tasks on each."""
     before = resident_bytes()
-    index = placement_cost.filled(workers_count)
+    index = placement_cost.build_filled_index(workers_count)
     held_bytes = resident_bytes() - before
-    decision_us = placement_cost.decision_us(index)
+    decision_us = placement_cost.measure_decision_us(index)
     return {'resident_bytes': held_bytes, 'decision_us': decision_us}
 
 
 CASES = {
-    'admission': Case(admission, 'request', (512, 2_048, 8_192), (512,)),
-    'services': Case(configuration_services, 'service', (10, 100, 400), (40,)),
+    'admission': Case(
+        measure_admission, 'request', (512, 2_048, 8_192), (512,)
+    ),
+    'services': Case(measure_services, 'service', (10, 100, 400), (40,)),
     'instances': Case(
-        configuration_instances,
+        measure_instances,
         'instance',
         (330, 1_300, 5_200),
         (5_200,),
     ),
-    'quotas': Case(configuration_quotas, 'quota', (74, 740, 2_960), (888,)),
-    'shard': Case(shard_tasks, 'task', (1_000, 7_500, 30_000), (7_500,)),
-    'commit': Case(commit, 'event', (2, 16, 64, 256), (14,)),
-    'recovery': Case(recovery, 'job', (1_000, 10_000, 50_000), (3_125,)),
-    'placement': Case(placement, 'worker', (87, 325, 1_300), (87, 5_200)),
+    'quotas': Case(measure_quotas, 'quota', (74, 740, 2_960), (888,)),
+    'shard': Case(measure_shard, 'task', (1_000, 7_500, 30_000), (7_500,)),
+    'commit': Case(measure_commit, 'event', (2, 16, 64, 256), (14,)),
+    'recovery': Case(
+        measure_recovery, 'job', (1_000, 10_000, 50_000), (3_125,)
+    ),
+    'placement': Case(
+        measure_placement, 'worker', (87, 325, 1_300), (87, 5_200)
+    ),
 }
--- a/tools/slope_workers.py
+++ b/tools/slope_workers.py
@@ -1,4 +1,4 @@
-"""Slopes of what the workers send: heartbeat replies and the list."""
+"""Slopes of the heartbeat replies of workers and of the directory list."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
 _CALLS_COUNT = 200
 
 
-def worker(number: int, capacity: Capacity = WORKER_CAPACITY) -> Worker:
-    """Return a worker of the fleet at the target."""
+def make_worker(number: int, capacity: Capacity = WORKER_CAPACITY) -> Worker:
+    """Return one worker of a fleet of the target's size."""
     return Worker(
         worker_id=WorkerId(f'worker-{number:05}'),
         url=f'http://10.{number // 250}.{number % 250}.7:9400',
@@ -57,8 +57,8 @@
     )
 
 
-def heartbeat(tasks_count: int) -> Figures:
-    """Measure the reply to a heartbeat, with two running calls."""
+def measure_heartbeat(tasks_count: int) -> Figures:
+    """Measure a heartbeat reply with two calls and this many tasks."""
     running = tuple(
         RunningCall(CallId(f'{number:032x}'), GrantId('1-1@worker-00001'))
         for number in range(2)
@@ -83,7 +83,7 @@
     )
     body = msgspec.json.encode(reply)
     ledger = WorkerLedger(
-        worker(1),
+        make_worker(1),
         Epoch(1),
         grant_ttl_s=3,
         connections_per_session=5,
@@ -96,11 +96,11 @@
             count=50,
         ),
         'take_in_us': time_us(lambda: ledger.record_report(reply, 0), count=50),
-        'call_us': trio.run(_call_us, body),
+        'call_us': trio.run(_measure_call_us, body),
     }
 
 
-async def _call_us(body: bytes) -> float:
+async def _measure_call_us(body: bytes) -> float:
     """Return the median time of a heartbeat over HTTP, in us of this thread."""
     agent = HttpWorkerAgent(
         serve_body(body),
@@ -109,27 +109,27 @@
     )
     times_us = []
     for _ in range(_CALLS_COUNT):
-        began_s = time.thread_time()
+        started_s = time.thread_time()
         await agent.lease(Epoch(1), revoked=(), lease_ms=10_000)
-        times_us.append((time.thread_time() - began_s) * 1e6)
+        times_us.append((time.thread_time() - started_s) * 1e6)
     await agent.aclose()
     return statistics.median(times_us)
 
 
-def roster(workers_count: int) -> Figures:
-    """Measure one directory list, and the roster that takes it in.
+def measure_worker_table(workers_count: int) -> Figures:
+    """Measure the directory list and the worker table that it is applied to.
 
-    ``repeat_us`` is the time of a poll that brings the same list; the
-    transfer is not in it.
+    ``repeat_us`` is the time of a poll that returns an unchanged list, without
+    its transfer.
     """
-    listing = Listing(1, tuple(map(worker, range(workers_count))))
+    listing = Listing(1, tuple(map(make_worker, range(workers_count))))
     body = msgspec.json.encode(listing)
     before = resident_bytes()
-    taken_in = WorkerTable()
-    taken_in.apply(read_listing(body))
+    worker_table = WorkerTable()
+    worker_table.apply(read_listing(body))
     held_bytes = resident_bytes() - before
-    again = itertools.count(2)
-    # The list in another buffer, as each answer brings it.
+    revisions = itertools.count(2)
+    # Successive answers hold the same bytes in different buffers, as over HTTP.
     bodies = itertools.cycle((bytes(bytearray(body)), body))
     client = DirectoryClient(
         httpx.AsyncClient(
@@ -141,12 +141,12 @@
     )
 
     async def poll() -> None:
-        taken_in.apply(await client.fetch())
+        worker_table.apply(await client.fetch())
 
     trio.run(poll)
 
     def apply() -> None:
-        taken_in.apply(Listing(next(again), listing.instances))
+        worker_table.apply(Listing(next(revisions), listing.instances))
 
     return {
         'wire_bytes': len(body),
@@ -158,6 +158,8 @@
 
 
 CASES = {
-    'heartbeat': Case(heartbeat, 'task', (1, 23, 100, 400), (25,)),
-    'roster': Case(roster, 'worker', (33, 330, 1_300, 5_200), (5_200,)),
+    'heartbeat': Case(measure_heartbeat, 'task', (1, 23, 100, 400), (25,)),
+    'roster': Case(
+        measure_worker_table, 'worker', (33, 330, 1_300, 5_200), (5_200,)
+    ),
 }
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -1,7 +1,8 @@
-"""Measures how state, messages and times grow, and evaluates the target.
+"""Measures how state, messages and times grow with their sizes.
 
-Each size of each case runs in a child interpreter, so that its memory is its
-own. Run by hand: ``make capacity``, or ``python -m tools.slopes --only roster``.
+A line is fitted to each figure and evaluated at the two-year target. Each size
+of each case runs in a child interpreter, so that only its own memory counts.
+Run by hand: ``make capacity``, or ``python -m tools.slopes --only roster``.
 Times are processor time; compare their slopes, not single values.
 """
 
@@ -17,47 +18,49 @@
 from functools import partial
 from typing import Any, TypeAlias
 
-from tools.capacity_target import at_target
-from tools.slope_measuring import Case, Line, line_through
+from tools.capacity_target import derive_target_figures
+from tools.slope_measuring import Case, Line, fit_line
 
 Lines: TypeAlias = Mapping[str, Mapping[str, Line]]
 
 _CHILD_TIMEOUT_S = 30
-# Keeps the whole run under 90 s.
-_SIDE_BY_SIDE_COUNT = 2
-# The process without any state; it has no size.
+# Two children at a time keep the whole run under 90 s.
+_CONCURRENT_CHILDREN_COUNT = 2
+# The memory of processes without any state; this case has no sizes.
 _IMPORTS = 'imports'
 _BARE = 'python'
 
 
 def main() -> int:
-    """Measure the chosen cases and print the tables."""
-    options = _parser().parse_args()
+    """Measure the chosen cases; print the lines and the target figures."""
+    options = _build_parser().parse_args()
     if options.child:
-        sys.stdout.write(json.dumps(_measure_here(*options.child)))
+        sys.stdout.write(json.dumps(_measure_case(*options.child)))
         return 0
-    names = [options.only] if options.only else [*_cases(), _IMPORTS]
-    measured = {name: _sweep(name) for name in names}
-    lines = {name: _lines_of(points) for name, points in measured.items()}
+    names = [options.only] if options.only else [*_load_cases(), _IMPORTS]
+    measured = {name: _measure_sizes(name) for name in names}
+    lines = {name: _fit_lines(points) for name, points in measured.items()}
     _print_lines(lines)
-    derived = {} if options.only else at_target(lines)
-    for name, found in derived.items():
-        print(f'{name:52} {found:14,.2f}')
+    derived = {} if options.only else derive_target_figures(lines)
+    for name, target_figure in derived.items():
+        print(f'{name:52} {target_figure:14,.2f}')
     if options.json is not None:
-        options.json.write_text(json.dumps(_report(measured, lines, derived)))
+        options.json.write_text(
+            json.dumps(_build_report(measured, lines, derived))
+        )
     return 0
 
 
-def _parser() -> argparse.ArgumentParser:
+def _build_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(description='Measure capacity slopes.')
     parser.add_argument('--json', type=pathlib.Path)
-    parser.add_argument('--only', choices=[*_cases(), _IMPORTS])
+    parser.add_argument('--only', choices=[*_load_cases(), _IMPORTS])
     parser.add_argument('--child', nargs=2, help=argparse.SUPPRESS)
     return parser
 
 
-def _cases() -> dict[str, Case]:
-    # Imported late: the child that measures imports must start without them.
+def _load_cases() -> dict[str, Case]:
+    # Imported here, since the child that measures imports starts without them.
     from tools import slope_capacity, slope_state, slope_workers  # noqa: PLC0415, WPS433
 
     return {
@@ -67,38 +70,38 @@
     }
 
 
-def _measure_here(name: str, size: str) -> dict[str, float]:
-    return dict(_cases()[name].measure(int(size)))
+def _measure_case(name: str, size: str) -> dict[str, float]:
+    return dict(_load_cases()[name].measure(int(size)))
 
 
-def _sweep(name: str) -> dict[str, dict[int, float]]:
+def _measure_sizes(name: str) -> dict[str, dict[int, float]]:
     """Return the measured points of each figure of a case."""
     if name == _IMPORTS:
-        return {kind: {0: _resident(kind)} for kind in (_BARE, _IMPORTS)}
-    sizes = _cases()[name].sizes
+        return {kind: {0: _measure_memory(kind)} for kind in (_BARE, _IMPORTS)}
+    sizes = _load_cases()[name].sizes
     points: dict[str, dict[int, float]] = {}
-    with ThreadPoolExecutor(_SIDE_BY_SIDE_COUNT) as pool:
+    with ThreadPoolExecutor(_CONCURRENT_CHILDREN_COUNT) as pool:
         outputs = pool.map(partial(_run_child, name), sizes)
         for size, output in zip(sizes, outputs, strict=True):
-            for figure, seen in json.loads(output).items():
-                points.setdefault(figure, {})[size] = seen
+            for figure, measured_value in json.loads(output).items():
+                points.setdefault(figure, {})[size] = measured_value
     return points
 
 
 def _run_child(name: str, size: int) -> str:
-    return _run(['-m', 'tools.slopes', '--child', name, str(size)])
+    return _run_python(['-m', 'tools.slopes', '--child', name, str(size)])
 
 
-def _resident(kind: str) -> float:
+def _measure_memory(kind: str) -> float:
     module = 'marjoramwharf.programs.entry' if kind == _IMPORTS else 'sys'
     code = (
         f'import {module}; from tools.slope_measuring import resident_bytes; '
         'print(resident_bytes())'
     )
-    return float(_run(['-c', code]))
+    return float(_run_python(['-c', code]))
 
 
-def _run(arguments: list[str]) -> str:
+def _run_python(arguments: list[str]) -> str:
     finished = subprocess.run(
         [sys.executable, *arguments],
         check=True,
@@ -109,18 +112,18 @@
     return finished.stdout
 
 
-def _lines_of(points: Mapping[str, dict[int, float]]) -> dict[str, Line]:
-    return {figure: line_through(seen) for figure, seen in points.items()}
+def _fit_lines(points: Mapping[str, dict[int, float]]) -> dict[str, Line]:
+    return {figure: fit_line(by_size) for figure, by_size in points.items()}
 
 
 def _print_lines(lines: Lines) -> None:
-    for row in _rows(lines):
+    for row in _format_lines(lines):
         print(row)
     print()
 
 
-def _rows(lines: Lines) -> Iterator[str]:
-    cases = _cases()
+def _format_lines(lines: Lines) -> Iterator[str]:
+    cases = _load_cases()
     for name, figures in lines.items():
         case = cases.get(name)
         per = '' if case is None else f' per {case.per}'
@@ -134,7 +137,7 @@
             )
 
 
-def _report(
+def _build_report(
     measured: Mapping[str, Any],
     lines: Lines,
     derived: Mapping[str, float],
