--- a/tests/tools/test_history.py
+++ b/tests/tools/test_history.py
@@ -108,7 +108,7 @@
         )
 
     def test_late_to_leaving(self) -> None:
-        """Guards against calls sent to a worker more than 3 s after it left."""
+        """Guards against calls sent to a worker 3 s after it began to leave."""
         late = msgspec.structs.replace(_CALL, start_s=4.1, end_s=5)
         counts = _check(_CALLER, _worker(leaving_since_s=1.0, calls=(late,)))
         self.assertEqual(counts, {'late_to_leaving': 1})
--- a/tools/deployments.py
+++ b/tools/deployments.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """The data centres and sizes of one deployment; delays are one-way."""
+    """Data centres and sizes of one deployment; delays are one-way, in ms."""
 
     region: str
     data_centres: tuple[str, ...]
--- a/tools/slope_measuring.py
+++ b/tools/slope_measuring.py
@@ -63,13 +63,13 @@
         sum(weights[size] * measured for size, measured in points.items())
         / total_weight
     )
-    variance_x = sum(weights[size] * (size - mean_x) ** 2 for size in points)
+    squares_x = sum(weights[size] * (size - mean_x) ** 2 for size in points)
     slope = (
         sum(
             weights[size] * (size - mean_x) * (measured - mean_y)
             for size, measured in points.items()
         )
-        / variance_x
+        / squares_x
     )
     intercept = mean_y - slope * mean_x
     largest_error = max(
