--- a/src/marjoramwharf/machines/_aborted_connections.py
+++ b/src/marjoramwharf/machines/_aborted_connections.py
@@ -1,4 +1,4 @@
-"""Reserves the places of aborted connections to a worker for a while."""
+"""Counts aborted connections until their worker has noticed the end."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     """Connections that were closed in the middle of an exchange.
 
     The worker counts such a connection until it receives the close. A new
-    connection could exceed the worker's limit for the session, so the place
-    of the closed one stays occupied for a while.
+    connection could exceed the worker's limit for the session, so the
+    closed one counts as open for ``_CLOSE_GRACE_S``.
     """
 
     def __init__(self) -> None:
         """Start without aborted connections."""
-        self._at_s: deque[float] = deque()
+        self._aborted_at_s: deque[float] = deque()
 
     @contextmanager
     def track_exchange(self) -> Iterator[trio.Event]:
@@ -37,13 +37,16 @@
         """Wait until runs and aborted connections together fit the limit."""
         while True:
             now_s = trio.current_time()
-            while self._at_s and self._at_s[0] + _CLOSE_GRACE_S <= now_s:
-                self._at_s.popleft()
-            used_count = limit.borrowed_tokens + len(self._at_s)
-            if not self._at_s or used_count <= limit.total_tokens:
+            while (
+                self._aborted_at_s
+                and self._aborted_at_s[0] + _CLOSE_GRACE_S <= now_s
+            ):
+                self._aborted_at_s.popleft()
+            used_count = limit.borrowed_tokens + len(self._aborted_at_s)
+            if not self._aborted_at_s or used_count <= limit.total_tokens:
                 return
-            await trio.sleep_until(self._at_s[0] + _CLOSE_GRACE_S)
+            await trio.sleep_until(self._aborted_at_s[0] + _CLOSE_GRACE_S)
 
     def _record_unless_completed(self, completed: trio.Event) -> None:
         if not completed.is_set():
-            self._at_s.append(trio.current_time())
+            self._aborted_at_s.append(trio.current_time())
--- a/src/marjoramwharf/machines/agent.py
+++ b/src/marjoramwharf/machines/agent.py
@@ -137,13 +137,8 @@
         await self._client.aclose()
 
     async def run(self, call: Call) -> CallOutcome:
-        """Run a call and return its outcome.
-
-        If this task is cancelled, the call is in doubt and the caller must
-        settle it. A call that gets no free connection before its timeout is
-        refused as ``FULL``.
-        """
-        sent = False
+        """Run a call and return its outcome; see ``WorkerAgent.run``."""
+        is_sent = False
         with hop('worker.run', kind=trace.SpanKind.CLIENT) as span:
             span.set_attribute('worker', call.permit.worker_id)
             span.set_attribute('request_id', call.request_id or '')
@@ -152,18 +147,18 @@
                     await self._aborted_connections.wait_for_capacity(
                         self._run_limit
                     )
-                    sent = True
+                    is_sent = True
                     return await self._send(call)
-        if sent:
+        if is_sent:
             return CallInDoubt(call.call_id, Reason.DEADLINE)
         return CallRefused(call.call_id, WorkerRefusal.FULL)
 
     async def settle(self, call_id: CallId) -> SettleReply:
-        """Return the state of a call; an unseen call is refused from now on."""
+        """Return the state of a call; if it arrives later, it is refused."""
         return await self._request_settlement(call_id, 'settle')
 
     async def cancel(self, call_id: CallId) -> SettleReply:
-        """Stop a call; an unseen call is refused if it arrives later."""
+        """Stop a call; if it arrives later, it is refused."""
         return await self._request_settlement(call_id, 'cancel')
 
     async def lease(
@@ -184,7 +179,7 @@
         )
 
     async def start_task(self, start: TaskStart) -> TaskReport | WorkerRefusal:
-        """Start an attempt, or return its state if it was started before."""
+        """Start an attempt unless it was; return its state or the refusal."""
         reply = await self._send_control(
             'PUT', f'/tasks/{start.task_id}', start
         )
@@ -209,7 +204,7 @@
         *,
         cpu_share: float,
     ) -> TaskReport:
-        """Limit a task to a share, 0 to 1, of the processors it requested."""
+        """Limit a task to a share, 0 to 1, of its processors."""
         body = ThrottleRequest(cpu_share)
         reply = await self._send_control(
             'POST', f'/tasks/{task_id}/throttle', body
@@ -217,12 +212,13 @@
         return _decode_reply(reply, TaskReport)
 
     async def usage(self) -> UsageReport:
-        """Return the worker's latest usage report, which lags."""
+        """Return the worker's latest usage report, which is some time old."""
         return _decode_reply(
             await self._send_control('GET', '/usage', None), UsageReport
         )
 
     async def _send(self, call: Call) -> CallOutcome:
+        """Send a run; in doubt, its connection counts as aborted."""
         with self._aborted_connections.track_exchange() as completed:
             outcome = await self._exchange_run(call)
             if not isinstance(outcome, CallInDoubt):
@@ -291,7 +287,7 @@
         headers = {'Content-Type': 'application/json', **trace_headers()}
         with self._aborted_connections.track_exchange() as completed:
             try:
-                reply = await self._read_reply(
+                reply = await self._send_and_read(
                     self._client.build_request(
                         method,
                         path,
@@ -306,7 +302,8 @@
             completed.set()
         return reply
 
-    async def _read_reply(self, request: httpx.Request) -> httpx.Response:
+    async def _send_and_read(self, request: httpx.Request) -> httpx.Response:
+        """Send a request and return its reply with the whole body."""
         response = await self._client.send(request, stream=True)
         try:
             content = await _read_limited(response, _MAX_REPLY_BYTES)
@@ -317,6 +314,7 @@
             raise WorkerUnreachable(
                 message='the reply exceeds the size limit of 24 MB'
             )
+        # The body was read raw, so ``response`` has no content of its own.
         return httpx.Response(
             response.status_code,
             headers={
@@ -349,8 +347,10 @@
     call_id: CallId,
     response: httpx.Response,
 ) -> CallOutcome:
+    """Read the answer of a run; an invalid one leaves the call in doubt."""
     if response.headers.get('X-Call-Id') != call_id:
         return CallInDoubt(call_id, Reason.ANSWER_CROSSED)
+    # A truncated or otherwise invalid answer is reported as ``ANSWER_CUT``.
     length = response.headers.get('Content-Length', '')
     if not length.isdecimal() or not length.isascii():
         return CallInDoubt(call_id, Reason.ANSWER_CUT)
@@ -376,7 +376,10 @@
 
 
 async def _read_limited(response: httpx.Response, limit_bytes: int) -> bytes:
-    """Read a body; stop at the first chunk that exceeds the limit."""
+    """Read a body, up to and with the first chunk that exceeds the limit.
+
+    The result is then too long; the caller checks this.
+    """
     body = bytearray()
     async for chunk in response.aiter_raw():
         body.extend(chunk)
@@ -388,8 +391,8 @@
 def _sanitize_answer(answer: CallAnswer) -> CallOutcome:
     """Return an answer that can be forwarded to a caller.
 
-    An invalid status makes the outcome in doubt; an invalid content type is
-    replaced by the default.
+    With an invalid status the call is in doubt, as after a truncated answer.
+    An invalid content type is replaced by the default.
     """
     if answer.status not in _VALID_STATUSES:
         return CallInDoubt(answer.call_id, Reason.ANSWER_CUT)
@@ -406,7 +409,7 @@
 
 
 def _parse_refusal(status: int, body: bytes) -> WorkerRefusal | None:
-    """Parse a refusal; return ``None`` for a 409 of the service itself."""
+    """Parse a refusal; ``None`` if the service itself sent the response."""
     if status != _REFUSED_STATUS:
         return None
     try:
--- a/src/marjoramwharf/machines/agent_messages.py
+++ b/src/marjoramwharf/machines/agent_messages.py
@@ -12,7 +12,7 @@
 
 
 class RefusalReply(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Body of a refusal; the call did not run or the task did not start."""
+    """Body of a refusal to run a call or start a task, with the reason."""
 
     refused: WorkerRefusal
 
@@ -27,7 +27,7 @@
 
 
 class StopRequest(msgspec.Struct, frozen=True):
-    """Body of a request to stop one attempt of a task."""
+    """Body of a request to stop an attempt and, if asked, save progress."""
 
     fence: tuple[int, int]
     with_checkpoint: bool
--- a/src/marjoramwharf/machines/agent_pool.py
+++ b/src/marjoramwharf/machines/agent_pool.py
@@ -1,4 +1,4 @@
-"""A pool of the agents of all known workers."""
+"""A pool of HTTP clients, one for the agent of each worker."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class AgentPool:
-    """Agents by worker, created at their first use."""
+    """Agents by worker, created at first use or when the URL changes."""
 
     def __init__(
         self,
--- a/src/marjoramwharf/machines/calls.py
+++ b/src/marjoramwharf/machines/calls.py
@@ -2,7 +2,9 @@
 
 A call to a worker has one of three outcomes: an answer; a refusal, which
 proves that the call did not run; or doubt, which the caller settles by
-querying the worker again.
+querying the worker again. A call needs a permit for a slot of the worker. The
+epoch grows with every change of the entry that owns the worker; to fence an
+epoch means that the worker refuses it from then on.
 """
 
 from __future__ import annotations
@@ -28,8 +30,10 @@
 class WorkerRefusal(enum.Enum):
     """Why a worker did not run a call or start a task.
 
-    ``NOT_CONNECTED`` is never sent by a worker: the client returns it if it
-    could not connect, so that the call was not sent at all.
+    ``SETTLED``: the call was received before, or a settle or cancel request
+    came first. ``FULL``: the worker lacks capacity, or the client had no free
+    connection in time. ``NOT_CONNECTED`` is never sent by a worker: the client
+    could not connect, so the call was not sent at all.
     """
 
     STALE_EPOCH = 'stale_epoch'
@@ -128,7 +132,7 @@
 
 @enum.unique
 class TaskPhase(enum.Enum):
-    """State of a task attempt at its worker."""
+    """State of a task attempt; ``UNKNOWN``: it never ran and never will."""
 
     RUNNING = 'running'
     THROTTLED = 'throttled'
@@ -221,13 +225,18 @@
         """Return the incarnation; query the worker if it is not known yet."""
 
     async def run(self, call: Call) -> CallOutcome:
-        """Run a call and return its outcome."""
+        """Run a call and return its outcome.
+
+        If the calling trio task is cancelled, the call is in doubt and the
+        caller must settle it. A call that gets no free connection before its
+        timeout is refused as ``FULL``.
+        """
 
     async def settle(self, call_id: CallId) -> SettleReply:
-        """Return the state of a call; an unseen call is refused from now on."""
+        """Return the state of a call; if it arrives later, it is refused."""
 
     async def cancel(self, call_id: CallId) -> SettleReply:
-        """Stop a call; an unseen call is refused if it arrives later."""
+        """Stop a call; if it arrives later, it is refused."""
 
     async def lease(
         self,
@@ -239,7 +248,7 @@
         """Fence lower epochs and revoked grants and extend the lease."""
 
     async def start_task(self, start: TaskStart) -> TaskReport | WorkerRefusal:
-        """Start an attempt, or return its state if it was started before."""
+        """Start an attempt unless it was; return its state or the refusal."""
 
     async def stop_task(
         self,
@@ -256,7 +265,7 @@
         *,
         cpu_share: float,
     ) -> TaskReport:
-        """Limit a task to a share, 0 to 1, of the processors it requested."""
+        """Limit a task to a share, 0 to 1, of its processors."""
 
     async def usage(self) -> UsageReport:
-        """Return the worker's latest usage report, which lags."""
+        """Return the worker's latest usage report, which is some time old."""
--- a/src/marjoramwharf/machines/health.py
+++ b/src/marjoramwharf/machines/health.py
@@ -21,7 +21,7 @@
 
 @enum.unique
 class HealthSignal(enum.Enum):
-    """What one call shows about the health of its worker."""
+    """What a call shows about its worker; ``NONE`` if it shows nothing."""
 
     GOOD = 'good'
     FAILED = 'failed'
@@ -39,6 +39,7 @@
     previous_failed_count: int = 0
 
     def advance(self, now_s: float) -> None:
+        """Begin a new half if the current one is over."""
         half_s = _WINDOW_S / 2
         elapsed_s = now_s - self.started_at_s
         if elapsed_s < half_s:
@@ -80,7 +81,7 @@
         return len(self._ejected)
 
     def set_workers(self, worker_ids: frozenset[WorkerId]) -> None:
-        """Replace the set of workers; remove the state of all others."""
+        """Set the workers; forget counts and ejections of all others."""
         self._workers_count = len(worker_ids)
         for removed_id in set(self._windows) - worker_ids:
             self._windows.pop(removed_id)
@@ -104,9 +105,9 @@
         )
 
     def try_begin_call(self, worker_id: WorkerId, now_s: float) -> bool:
-        """Register the begin of a call; ``False`` if it must not be made.
+        """Tell whether a call may be made to a worker.
 
-        A call to an ejected worker is its probe.
+        To an ejected worker only if a probe is due; the call is the probe then.
         """
         ejection = self._ejected.get(worker_id)
         if ejection is None:
@@ -158,6 +159,7 @@
         signal: HealthSignal,
         now_s: float,
     ) -> None:
+        """Count a call, and eject its worker if too many have failed."""
         window = self._windows.setdefault(worker_id, _Window(now_s))
         window.advance(now_s)
         if signal is HealthSignal.GOOD:
@@ -183,6 +185,7 @@
         signal: HealthSignal,
         now_s: float,
     ) -> None:
+        """Restore a worker after a good probe; probe later after a failed."""
         ejection.probe_started_at_s = None
         if signal is HealthSignal.GOOD:
             self._ejected.pop(worker_id)
--- a/src/marjoramwharf/machines/worker.py
+++ b/src/marjoramwharf/machines/worker.py
@@ -10,7 +10,7 @@
 
 @enum.unique
 class WorkerState(enum.Enum):
-    """State of a worker in the platform's list."""
+    """State of a worker; a leaving one gets no new work."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
--- a/src/marjoramwharf/machines/worker_table.py
+++ b/src/marjoramwharf/machines/worker_table.py
@@ -1,4 +1,4 @@
-"""The known workers: the platform's list, corrected by heartbeats.
+"""The workers of the platform's list, corrected by heartbeats.
 
 A leaving worker reports this in each heartbeat reply, earlier than the list,
 which lags. Leaving is final for an incarnation of a worker. The list has no
@@ -48,12 +48,16 @@
         return self._revision
 
     def apply(self, listing: Listing) -> WorkerTableChange:
-        """Replace the workers by a list, unless it is older than the latest."""
+        """Make a list the latest and return what it changed.
+
+        An older list, or the same one again, changes nothing.
+        """
         if listing is self._latest_listing or listing.revision < self._revision:
             return WorkerTableChange()
         self._latest_listing = listing
         self._revision = listing.revision
         previous = self._workers
+        # A worker with a new URL is a new incarnation, which is not leaving.
         self._leaving.difference_update(
             worker.worker_id
             for worker in listing.instances
@@ -81,9 +85,9 @@
         )
 
     def mark_leaving(self, worker_id: WorkerId) -> bool:
-        """Mark a worker as leaving after a heartbeat, a refusal or a report.
+        """Mark a worker as leaving, perhaps before the list has it.
 
-        Returns whether this was not known before.
+        Returns whether it was not marked before.
         """
         is_new = worker_id not in self._leaving
         self._leaving.add(worker_id)
--- a/src/marjoramwharf/service/_attempts.py
+++ b/src/marjoramwharf/service/_call_runner.py
@@ -28,15 +28,17 @@
 
 
 @dataclass(slots=True)
-class _Attempt:
+class _CallRecord:
+    """A call under way; ``outcome`` stays ``None`` if it is cancelled."""
+
     permit: Permit
     call_id: CallId
     start_s: float
     outcome: CallOutcome | None = None
 
 
-class AttemptRunner:
-    """Acquires permits and runs calls; releases or hands over every permit."""
+class CallRunner:
+    """Acquires permits, runs calls, and releases or settles the permits."""
 
     def __init__(self, deps: DispatchDependencies) -> None:
         """Use the collaborators of the dispatcher."""
@@ -47,7 +49,7 @@
         request: ServiceRequest,
         excluded: frozenset[WorkerId],
     ) -> Permit | NotRun:
-        """Return a permit of a healthy worker or of one due for a probe.
+        """Wait for a permit of a healthy worker or of one due for a probe.
 
         Only idempotent requests are used as probes of ejected workers.
         """
@@ -70,7 +72,7 @@
         request: ServiceRequest,
         excluded: frozenset[WorkerId],
     ) -> Permit | None:
-        """Return a permit of a healthy worker if one is idle."""
+        """Return a permit of a healthy worker, or ``None`` if none is idle."""
         now_s = self._deps.clock()
         ejected = self._deps.health.list_ejected(now_s, allow_probes=False)
         permit = self._deps.acquire_idle(request, excluded | ejected)
@@ -86,9 +88,10 @@
         permit: Permit,
         timeout_s: float,
     ) -> Incarnation | None:
-        """Return the worker's incarnation, or ``None`` if it is unreachable.
+        """Return the incarnation of a permit's worker.
 
-        In the latter case the permit is released.
+        If the worker is unreachable or silent for ``timeout_s``, the permit is
+        released and ``None`` returned.
         """
         signal = HealthSignal.NONE
         try:
@@ -108,7 +111,7 @@
         permit: Permit,
         signal: HealthSignal = HealthSignal.NONE,
     ) -> None:
-        """Release an unused permit and record ``signal`` for its worker."""
+        """Release a permit without a call; record ``signal`` of its worker."""
         self._deps.release(permit)
         now_s = self._deps.clock()
         self._deps.health.record_call_end(
@@ -125,25 +128,25 @@
         call_id: CallId,
         incarnation: Incarnation | None = None,
     ) -> CallOutcome:
-        """Run one call; the permit is released or handed over in any case.
+        """Run one call; the permit is released or settled in any case.
 
-        Without ``incarnation`` the call expects the worker's last known one.
+        Without ``incarnation`` the call expects that of the last reply.
         """
         start_s = self._deps.clock()
         timeout_ms = int((request.deadline_s - start_s) * _MS_PER_S)
         if timeout_ms <= 0:
             self.release_unused(permit)
             return CallRefused(call_id, WorkerRefusal.NOT_CONNECTED)
-        attempt = _Attempt(permit, call_id, start_s)
+        record = _CallRecord(permit, call_id, start_s)
         call = _build_call(request, permit, call_id, timeout_ms)
         if incarnation is not None:
             call = replace(call, incarnation=incarnation)
         with hop('dispatch.attempt') as span, ExitStack() as stack:
             span.set_attribute('worker', permit.worker_id)
             span.set_attribute('request_id', request.request_id)
-            stack.callback(self._record_end, request, attempt)
+            stack.callback(self._record_end, request, record)
             outcome = await self._send(call)
-            attempt.outcome = outcome
+            record.outcome = outcome
         return outcome
 
     async def _send(self, call: Call) -> CallOutcome:
@@ -155,25 +158,26 @@
             call = replace(call, incarnation=agent.incarnation)
         return await agent.run(call)
 
-    def _record_end(self, request: ServiceRequest, attempt: _Attempt) -> None:
+    def _record_end(self, request: ServiceRequest, record: _CallRecord) -> None:
+        """Give up the permit of an ended call; record health and latency."""
         now_s = self._deps.clock()
-        outcome = attempt.outcome
-        worker_id = attempt.permit.worker_id
+        outcome = record.outcome
+        worker_id = record.permit.worker_id
         self._deps.health.record_call_end(
             worker_id,
             _classify_outcome(outcome),
             now_s,
-            start_s=attempt.start_s,
+            start_s=record.start_s,
         )
         if isinstance(outcome, CallRefused):
-            self._deps.refused(attempt.permit, outcome.refusal)
+            self._deps.refused(record.permit, outcome.refusal)
         elif isinstance(outcome, CallAnswer):
-            self._deps.release(attempt.permit)
+            self._deps.release(record.permit)
         elif request.is_idempotent:
-            self._deps.enqueue_cancel(attempt.permit, attempt.call_id)
+            self._deps.enqueue_cancel(record.permit, record.call_id)
         else:
-            self._deps.enqueue_settle(attempt.permit, attempt.call_id)
-        latency_s = now_s - attempt.start_s
+            self._deps.enqueue_settle(record.permit, record.call_id)
+        latency_s = now_s - record.start_s
         if outcome is None:
             self._deps.observe_lower_bound(
                 request.service,
@@ -192,15 +196,15 @@
 
 
 def build_done(answer: CallAnswer) -> Done:
-    """Convert the answer of a call to the outcome of a request."""
+    """Return the outcome of a request that a call answered."""
     return Done(answer.status, answer.content_type, answer.body)
 
 
 def _classify_outcome(outcome: CallOutcome | None) -> HealthSignal:
     """Return what an outcome shows about the health of its worker.
 
-    Cancelled calls and refusals show nothing; only the refusal of a call that
-    found no connection counts as a failure.
+    Cancelled calls (``None``) and refusals show nothing; only the refusal of
+    a call that found no connection counts as a failure.
     """
     if outcome is None:
         return HealthSignal.NONE
--- a/src/marjoramwharf/service/_claimed.py
+++ b/src/marjoramwharf/service/_claimed.py
@@ -18,7 +18,7 @@
 from marjoramwharf.errors import Failure, Reason
 from marjoramwharf.ids import CallId, Incarnation, WorkerId, random_id
 from marjoramwharf.machines.calls import CallAnswer, CallRefused
-from marjoramwharf.service._attempts import AttemptRunner, build_done
+from marjoramwharf.service._call_runner import CallRunner, build_done
 from marjoramwharf.service.dispatch_dependencies import DispatchDependencies
 from marjoramwharf.service.request import (
     Done,
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ClaimTarget:
-    """Worker, call and incarnation that a new claim names."""
+    """The call that a claim shall name, its worker and the incarnation."""
 
     worker_id: WorkerId
     call_id: CallId
@@ -55,25 +55,24 @@
 class ClaimedDispatch:
     """Serves requests with an idempotency key.
 
+    A claim, stored under the key, names the only call that may run a request.
     ``open_claim`` in the methods below is a claim whose call provably never
     ran. The request may run only after a take-over of this claim, and
     ``NotRun`` may be answered only after its withdrawal, since another entry
     may use the same claim.
     """
 
-    def __init__(
-        self, deps: DispatchDependencies, attempts: AttemptRunner
-    ) -> None:
-        """Use the collaborators and the attempts of the dispatcher."""
+    def __init__(self, deps: DispatchDependencies, runner: CallRunner) -> None:
+        """Use the collaborators and the call runner of the dispatcher."""
         self._deps = deps
-        self._attempts = attempts
+        self._runner = runner
 
     async def serve(self, request: ServiceRequest, key: str) -> Outcome:
         """Run a request once, or return the outcome of its earlier run."""
         open_claim: Claim | None = None
         excluded: frozenset[WorkerId] = frozenset()
         for attempts_count in range(1, MAX_ATTEMPTS_COUNT + 1):
-            permit = await self._attempts.acquire(request, excluded)
+            permit = await self._runner.acquire(request, excluded)
             if isinstance(permit, NotRun):
                 return await self._answer_refused(
                     request, key, open_claim, permit
@@ -101,10 +100,10 @@
         permit: Permit,
         open_claim: Claim | None,
     ) -> Outcome | NeverRan | None:
-        """Run a call under a claim; ``None`` if the worker is unreachable."""
+        """Run a call under a claim; ``None`` if its worker is unreachable."""
         # The claim names the incarnation, so it is fetched before the claim.
         timeout_s = self._remaining_s(request) / 2
-        incarnation = await self._attempts.incarnation_of(permit, timeout_s)
+        incarnation = await self._runner.incarnation_of(permit, timeout_s)
         if incarnation is None:
             return None
         target = _ClaimTarget(
@@ -113,11 +112,11 @@
         try:
             claimed = await self._claim(request, key, target, open_claim)
         except BaseException:
-            self._attempts.release_unused(permit)
+            self._runner.release_unused(permit)
             raise
         if isinstance(claimed, ClaimHeld):
             return await self._run(request, key, permit, claimed.claim)
-        self._attempts.release_unused(permit)
+        self._runner.release_unused(permit)
         if isinstance(claimed, ClaimExists):
             return await self._resolve(request, key, claimed.claim)
         if isinstance(claimed, ClaimWithdrawn):
@@ -133,7 +132,7 @@
         target: _ClaimTarget,
         open_claim: Claim | None,
     ) -> ClaimOutcome | NotRun:
-        """Create or take over the claim within the request's deadline."""
+        """Create the claim, or take over ``open_claim``, by the deadline."""
         claims = self._deps.claims
         with trio.move_on_after(self._remaining_s(request)):
             try:
@@ -163,7 +162,8 @@
         permit: Permit,
         claim: Claim,
     ) -> Outcome | NeverRan:
-        outcome = await self._attempts.run(
+        """Run the call of a claim; queue its answer for storage."""
+        outcome = await self._runner.run(
             request,
             permit,
             claim.record.call_id,
@@ -204,26 +204,27 @@
         open_claim: Claim | None,
         not_run: NotRun,
     ) -> Outcome:
-        """Answer a request without a permit or refused by every worker.
+        """Answer a request that got no permit or was refused by every worker.
 
-        An earlier dispatch, possibly at another entry, may have run it.
+        An earlier dispatch, possibly at another entry, may have run it, so its
+        claim is read before ``not_run`` is answered.
         """
         if open_claim is not None:
             return await self._withdraw_open_claim(key, open_claim, not_run)
-        claim: Claim | NotRun | None = _CLAIM_NOT_READ
+        found: Claim | NotRun | None = _CLAIM_NOT_READ
         with trio.move_on_after(_LOOK_UP_TIMEOUT_S):
             try:
-                claim = await self._deps.claims.look_up(request.team, key)
+                found = await self._deps.claims.look_up(request.team, key)
             except Failure as failure:
-                claim = NotRun(failure.reason, failure.message, 1)
-        if isinstance(claim, NotRun):
+                found = NotRun(failure.reason, failure.message, 1)
+        if isinstance(found, NotRun):
             is_first = request.is_first_attempt
             return _answer_without_claim(
-                request, key, not_run if is_first else claim
+                request, key, not_run if is_first else found
             )
-        if claim is None:
+        if found is None:
             return not_run
-        outcome = await self._resolve(request, key, claim)
+        outcome = await self._resolve(request, key, found)
         if isinstance(outcome, NeverRan):
             return await self._withdraw_open_claim(key, outcome.claim, not_run)
         return outcome
@@ -234,6 +235,7 @@
         open_claim: Claim | None,
         not_run: NotRun,
     ) -> Outcome:
+        """Answer ``not_run`` if no claim is open or it was withdrawn."""
         if open_claim is None:
             return not_run
         return await withdraw_claim(
--- a/src/marjoramwharf/service/_idempotent.py
+++ b/src/marjoramwharf/service/_idempotent.py
@@ -15,7 +15,7 @@
     CallInDoubt,
     CallOutcome,
 )
-from marjoramwharf.service._attempts import AttemptRunner, build_done
+from marjoramwharf.service._call_runner import CallRunner, build_done
 from marjoramwharf.service.dispatch_dependencies import DispatchDependencies
 from marjoramwharf.service.request import (
     NotRun,
@@ -31,14 +31,14 @@
 
 @dataclass(slots=True)
 class _Race:
-    """Concurrent calls of one request."""
+    """The concurrent calls of one attempt: the first and the hedged one."""
 
     nursery: trio.Nursery
     running_count: int = 0
     outcomes: list[CallOutcome] = field(default_factory=list)
 
     def record_end(self, outcome: CallOutcome) -> None:
-        """Stop waiting after a successful answer or the end of all calls."""
+        """Add an outcome; cancel the rest if it is successful or the last."""
         self.outcomes.append(outcome)
         self.running_count -= 1
         if is_successful(outcome) or not self.running_count:
@@ -48,20 +48,18 @@
 class IdempotentDispatch:
     """Serves requests that may run more than once."""
 
-    def __init__(
-        self, deps: DispatchDependencies, attempts: AttemptRunner
-    ) -> None:
-        """Use the collaborators and the attempts of the dispatcher."""
+    def __init__(self, deps: DispatchDependencies, runner: CallRunner) -> None:
+        """Use the collaborators and the call runner of the dispatcher."""
         self._deps = deps
-        self._attempts = attempts
+        self._runner = runner
 
     async def serve(self, request: ServiceRequest) -> Outcome:
-        """Return the first successful answer, or the combined failures."""
+        """Return the first successful answer, else the best other outcome."""
         outcomes: list[CallOutcome] = []
         excluded: frozenset[WorkerId] = frozenset()
         attempts_count = 0
         while True:
-            permit = await self._attempts.acquire(request, excluded)
+            permit = await self._runner.acquire(request, excluded)
             if isinstance(permit, NotRun):
                 return _combine_outcomes(outcomes, permit)
             outcomes.extend(await self._race(request, permit))
@@ -93,7 +91,7 @@
         request: ServiceRequest,
         permit: Permit,
     ) -> Sequence[CallOutcome]:
-        """Run a call, and a hedged call if the first takes too long."""
+        """Run a call, and a second (hedged) one if it takes too long."""
         async with trio.open_nursery() as nursery:
             race = _Race(nursery)
             race.running_count += 1
@@ -120,15 +118,15 @@
         until the first call ends, which cancels this task.
         """
         excluded = frozenset((first_worker_id,))
-        permit = self._attempts.acquire_idle(request, excluded)
+        permit = self._runner.acquire_idle(request, excluded)
         while permit is None:
             await trio.sleep(_IDLE_POLL_S)
-            permit = self._attempts.acquire_idle(request, excluded)
+            permit = self._runner.acquire_idle(request, excluded)
         if self._deps.policy.budget.try_spend(self._deps.clock()):
             race.running_count += 1
             await self._run(request, permit, race)
         else:
-            self._attempts.release_unused(permit)
+            self._runner.release_unused(permit)
 
     async def _run(
         self,
@@ -137,13 +135,13 @@
         race: _Race,
     ) -> None:
         call_id = CallId(random_id())
-        race.record_end(await self._attempts.run(request, permit, call_id))
+        race.record_end(await self._runner.run(request, permit, call_id))
 
 
 def _combine_outcomes(
     outcomes: Sequence[CallOutcome], not_run: NotRun
 ) -> Outcome:
-    """Return the best outcome; ``not_run`` only if no call may have run."""
+    """Return the best answer; ``not_run`` only if every call was refused."""
     answers = [answer for answer in outcomes if isinstance(answer, CallAnswer)]
     if answers:
         return build_done(max(answers, key=is_successful))
--- a/src/marjoramwharf/service/admission.py
+++ b/src/marjoramwharf/service/admission.py
@@ -18,6 +18,7 @@
 from marjoramwharf.service.admission_queue import AdmissionQueue, QueuedRequest
 from marjoramwharf.service.request import NotRun, ServiceRequest
 
+# Takes a permit of a worker that is not excluded, at a monotonic time in s.
 ChoosePermit = Callable[[ServiceId, frozenset[WorkerId], float], Permit | None]
 Clock = Callable[[], float]
 
@@ -27,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Waiter:
-    """A queued request and the event that wakes its task."""
+    """A queued request, the event that wakes its task, and the outcome."""
 
     queued: QueuedRequest
     excluded: frozenset[WorkerId]
@@ -52,6 +53,7 @@
         self._count += 1
 
     def _finish_second(self, second: int) -> None:
+        """Add the rate of the seconds before ``second`` to the average."""
         rate = self._count / max(1, second - self._second)
         if self.per_s > 0:
             self.per_s += _RATE_SMOOTHING * (rate - self.per_s)
@@ -115,13 +117,13 @@
         request: ServiceRequest,
         excluded: frozenset[WorkerId],
     ) -> Permit | None:
-        """Return a permit if one is free and no request is queued."""
+        """Return a permit, or ``None`` if none is free or requests wait."""
         if len(self._queue):
             return None
         return self._choose(request.service, excluded, self._clock())
 
     def on_permit_released(self) -> None:
-        """Update the release rate and serve the queue."""
+        """Update the release rate; hand free permits to queued requests."""
         self._release_rate.count(self._clock())
         self.serve()
 
@@ -153,6 +155,7 @@
             self._queue.push_front(blocked_request)
 
     def _enqueue(self, waiter: _Waiter, now_s: float) -> None:
+        """Queue a request; wake those that are shed for it with a refusal."""
         self._waiters[id(waiter.queued)] = waiter
         shed = self._queue.offer(
             waiter.queued,
@@ -164,9 +167,9 @@
             self._wake(self._waiters[id(dropped.queued)], dropped.answer)
 
     async def _wait(self, waiter: _Waiter, now_s: float) -> Permit | NotRun:
-        limit_s = waiter.queued.request.deadline_s - now_s
+        timeout_s = waiter.queued.request.deadline_s - now_s
         try:
-            with trio.move_on_after(limit_s):
+            with trio.move_on_after(timeout_s):
                 await waiter.wakeup.wait()
         except trio.Cancelled:
             if isinstance(waiter.outcome, Permit):
--- a/src/marjoramwharf/service/admission_queue.py
+++ b/src/marjoramwharf/service/admission_queue.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, eq=False)
 class QueuedRequest:
-    """A request in the queue."""
+    """A request in the queue; ``pop`` skips it once it ``is_discarded``."""
 
     request: ServiceRequest
     is_discarded: bool = False
@@ -26,8 +26,9 @@
 
 @dataclass(slots=True)
 class _TeamQueue:
-    queued: deque[QueuedRequest] = field(default_factory=deque)
-    # Virtual start time of the team's next request.
+    requests: deque[QueuedRequest] = field(default_factory=deque)
+    # Virtual start time of the team's next request; the team with the
+    # earliest one is served next.
     virtual_start: float = 0
 
 
@@ -71,8 +72,8 @@
         """Add a request and return the requests that are shed for it.
 
         ``service_time_s`` is the time that the service takes for a request,
-        ``release_rate_per_s`` the recent rate of released permits. If the
-        offered request is refused, it is itself among the shed requests.
+        ``release_rate_per_s`` the recent rate of released permits, 0 if it is
+        not known. A refused request is itself among the shed requests.
         """
         request = queued.request
         refusal = self._check_deadline_and_share(
@@ -91,7 +92,7 @@
     def pop(
         self, now_s: float, *, service_time_s: float
     ) -> QueuedRequest | None:
-        """Return the next request that can still meet its deadline.
+        """Return the next request that can meet its deadline, or ``None``.
 
         Requests that can't meet their deadline are dropped without an answer;
         their own tasks time out at the deadline.
@@ -104,16 +105,17 @@
 
     def push_front(self, queued: QueuedRequest) -> None:
         """Return a popped request to the head of its queue."""
-        queue = self._team_queue(queued.request)
-        queue.queued.appendleft(queued)
-        queue.virtual_start -= 1
+        team_queue = self._get_team_queue(queued.request)
+        team_queue.requests.appendleft(queued)
+        # Undoes the charge of ``pop``.
+        team_queue.virtual_start -= 1
         self._length += 1
 
     def discard(self, queued: QueuedRequest) -> None:
         """Remove a request whose task has stopped waiting."""
-        queue = self._team_queue(queued.request)
-        if queued in queue.queued:
-            queue.queued.remove(queued)
+        team_queue = self._get_team_queue(queued.request)
+        if queued in team_queue.requests:
+            team_queue.requests.remove(queued)
             self._length -= 1
         queued.is_discarded = True
 
@@ -124,16 +126,17 @@
         service_time_s: float,
         release_rate_per_s: float,
     ) -> NotRun | None:
+        """Refuse a request that would be late or exceeds its team's share."""
         ahead = sum(
-            len(queue.queued)
+            len(team_queue.requests)
             for priority, teams in self._queues.items()
             if priority >= request.priority
-            for queue in teams.values()
+            for team_queue in teams.values()
         )
         wait_s = ahead / release_rate_per_s if release_rate_per_s > 0 else 0
         if now_s + wait_s + service_time_s > request.deadline_s:
             return _refuse(Reason.DEADLINE, retry_after_s=wait_s)
-        team_count = len(self._team_queue(request).queued)
+        team_count = len(self._get_team_queue(request).requests)
         is_half_full = 2 * self._length >= self._limit
         if is_half_full and team_count >= self._team_limit:
             return _refuse(Reason.TEAM_LIMIT, retry_after_s=wait_s)
@@ -142,6 +145,7 @@
     def _shed_lower_priority(
         self, priority: Priority
     ) -> tuple[ShedRequest, ...]:
+        """Shed the newest request of the lowest priority, if that is lower."""
         for lower in sorted(Priority):
             if lower >= priority:
                 return ()
@@ -150,50 +154,52 @@
                 key=_get_length,
                 default=None,
             )
-            if longest is not None and longest.queued:
+            if longest is not None and longest.requests:
                 self._length -= 1
-                dropped = longest.queued.pop()
+                dropped = longest.requests.pop()
                 return (ShedRequest(dropped, _refuse(Reason.QUEUE_FULL)),)
         return ()
 
     def _append(self, queued: QueuedRequest) -> None:
-        queue = self._team_queue(queued.request)
-        if not queue.queued:
+        team_queue = self._get_team_queue(queued.request)
+        if not team_queue.requests:
             virtual_time = self._virtual_times[queued.request.priority]
-            queue.virtual_start = max(queue.virtual_start, virtual_time)
-        queue.queued.append(queued)
+            team_queue.virtual_start = max(
+                team_queue.virtual_start, virtual_time
+            )
+        team_queue.requests.append(queued)
         self._length += 1
 
     def _pop_priority(
         self,
         priority: Priority,
-        ready_by_s: float,
+        min_end_s: float,
     ) -> QueuedRequest | None:
         teams = self._queues[priority]
         while True:
-            nonempty = [queue for queue in teams.values() if queue.queued]
+            nonempty = [each for each in teams.values() if each.requests]
             if not nonempty:
                 return None
-            queue = min(nonempty, key=_get_virtual_start)
-            queued = queue.queued.popleft()
+            team_queue = min(nonempty, key=_get_virtual_start)
+            queued = team_queue.requests.popleft()
             self._length -= 1
-            if queued.is_discarded or ready_by_s > queued.request.deadline_s:
+            if queued.is_discarded or min_end_s > queued.request.deadline_s:
                 continue
-            self._virtual_times[priority] = queue.virtual_start
-            queue.virtual_start += 1
+            self._virtual_times[priority] = team_queue.virtual_start
+            team_queue.virtual_start += 1
             return queued
 
-    def _team_queue(self, request: ServiceRequest) -> _TeamQueue:
+    def _get_team_queue(self, request: ServiceRequest) -> _TeamQueue:
         teams = self._queues[request.priority]
         return teams.setdefault(request.team, _TeamQueue())
 
 
-def _get_length(queue: _TeamQueue) -> int:
-    return len(queue.queued)
+def _get_length(team_queue: _TeamQueue) -> int:
+    return len(team_queue.requests)
 
 
-def _get_virtual_start(queue: _TeamQueue) -> float:
-    return queue.virtual_start
+def _get_virtual_start(team_queue: _TeamQueue) -> float:
+    return team_queue.virtual_start
 
 
 _REFUSAL_MESSAGES = {
--- a/src/marjoramwharf/service/dispatch.py
+++ b/src/marjoramwharf/service/dispatch.py
@@ -9,7 +9,7 @@
 from opentelemetry.trace import Span
 
 from marjoramwharf.errors import Reason
-from marjoramwharf.service._attempts import AttemptRunner
+from marjoramwharf.service._call_runner import CallRunner
 from marjoramwharf.service._claimed import ClaimedDispatch
 from marjoramwharf.service._idempotent import IdempotentDispatch
 from marjoramwharf.service.dispatch_dependencies import DispatchDependencies
@@ -27,10 +27,10 @@
 
     def __init__(self, deps: DispatchDependencies) -> None:
         """Build the dispatch of idempotent and of claimed requests."""
-        attempts = AttemptRunner(deps)
+        runner = CallRunner(deps)
         self._deps = deps
-        self._idempotent = IdempotentDispatch(deps, attempts)
-        self._claimed = ClaimedDispatch(deps, attempts)
+        self._idempotent = IdempotentDispatch(deps, runner)
+        self._claimed = ClaimedDispatch(deps, runner)
 
     async def serve(self, request: ServiceRequest) -> Outcome:
         """Run a request and return its outcome: done, not run or unknown."""
--- a/src/marjoramwharf/service/drain.py
+++ b/src/marjoramwharf/service/drain.py
@@ -16,7 +16,7 @@
 
 @enum.unique
 class DrainState(enum.Enum):
-    """Step of the shutdown that an entry is in."""
+    """Step of the shutdown; in ``NOT_READY`` requests are still served."""
 
     SERVING = 'serving'
     NOT_READY = 'not_ready'
--- a/src/marjoramwharf/service/http_api.py
+++ b/src/marjoramwharf/service/http_api.py
@@ -38,7 +38,7 @@
 
     ``serve`` runs a request, ``look_up`` returns the outcome of the request
     with a team's idempotency key, and ``services`` returns the names of the
-    services in force.
+    services in the configuration. ``clock`` returns monotonic seconds.
     """
 
     serve: Callable[[ServiceRequest], Awaitable[Outcome]]
@@ -104,6 +104,7 @@
     body: bytes,
     now_s: float,
 ) -> ServiceRequest | NotRun:
+    """Build the request from its headers; refuse malformed ones."""
     headers = request.headers
     try:
         timeout_ms = int(
--- a/src/marjoramwharf/service/latency.py
+++ b/src/marjoramwharf/service/latency.py
@@ -33,7 +33,7 @@
         self._decay_s = decay_s
         self._prior_ms = prior_ms
         self._means_ms: dict[ServiceId, _Estimate] = {}
-        self._workers: dict[tuple[ServiceId, WorkerId], _Estimate] = {}
+        self._estimates: dict[tuple[ServiceId, WorkerId], _Estimate] = {}
 
     def observe(
         self,
@@ -42,15 +42,15 @@
         latency_ms: float,
         now_s: float,
     ) -> None:
-        """Update the estimates with the latency of one answer."""
+        """Update the mean and the worker's estimate with one answer."""
         mean = self._means_ms.setdefault(
             service,
             _Estimate(latency_ms, now_s),
         )
         _move_average(mean, latency_ms, now_s, self._decay_s)
-        estimate = self._workers.get((service, worker_id))
+        estimate = self._estimates.get((service, worker_id))
         if estimate is None:
-            self._workers[(service, worker_id)] = _Estimate(latency_ms, now_s)
+            self._estimates[(service, worker_id)] = _Estimate(latency_ms, now_s)
             return
         if latency_ms > estimate.latency_ms:
             estimate.latency_ms = latency_ms
@@ -71,7 +71,7 @@
         only if it exceeds the prediction.
         """
         if latency_ms > self.predict_ms(service, worker_id, now_s):
-            estimate = self._workers.setdefault(
+            estimate = self._estimates.setdefault(
                 (service, worker_id),
                 _Estimate(latency_ms, now_s),
             )
@@ -91,7 +91,7 @@
     ) -> float:
         """Return the predicted latency of a worker at this time."""
         mean_ms = self.mean_ms(service)
-        estimate = self._workers.get((service, worker_id))
+        estimate = self._estimates.get((service, worker_id))
         if estimate is None:
             return mean_ms
         age_s = max(0, now_s - estimate.updated_at_s)
@@ -100,9 +100,9 @@
 
     def forget(self, worker_id: WorkerId) -> None:
         """Remove the estimates of a removed worker."""
-        self._workers = {
+        self._estimates = {
             key: estimate
-            for key, estimate in self._workers.items()
+            for key, estimate in self._estimates.items()
             if key[1] != worker_id
         }
 
--- a/src/marjoramwharf/service/limits.py
+++ b/src/marjoramwharf/service/limits.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """Queue limits and quotas of one revision of the configuration."""
+    """Limits of queued requests in total, per team and per caller; quotas."""
 
     revision: NoteRevision
     queue_count: int
@@ -76,9 +76,9 @@
     *,
     now_ms: int,
 ) -> TeamBounds:
-    """Return the bounds of a team at a Unix time in milliseconds.
+    """Return the bounds of a team at ``now_ms``, a Unix time.
 
-    An expired quota does not apply.
+    Without a quota, or after its end, only the default weight applies.
     """
     quota = limits.quotas.get((team, service))
     if quota is None or _has_ended(quota, now_ms):
@@ -87,11 +87,12 @@
 
 
 def check_queue_limits(limits: RequestLimits, usage: Usage) -> Reason | None:
-    """Return the limit that one more queued request exceeds, or ``None``."""
+    """Return why one more request may not be queued, or ``None``."""
     if usage.queued_count >= limits.queue_count:
         return Reason.QUEUE_FULL
     if usage.team_queued_count >= limits.team_count:
         return Reason.TEAM_LIMIT
+    # The limit of a caller has no reason of its own.
     if usage.caller_queued_count >= limits.caller_count:
         return Reason.TEAM_LIMIT
     return None
@@ -114,7 +115,7 @@
     """Divide slots among teams by weight (weighted max-min fairness).
 
     ``demands`` is the number of requests that each team wants to run. No team
-    gets more than its demand or its quota; the rest goes to the other teams.
+    gets more than its demand or its quota; what it leaves goes to the others.
     """
     weights: dict[TeamId, float] = {}
     ceilings: dict[TeamId, float] = {}
--- a/src/marjoramwharf/service/request.py
+++ b/src/marjoramwharf/service/request.py
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The request provably did not run."""
+    """The request provably did not run; retry it after ``retry_after_s``."""
 
     reason: Reason
     message: str
--- a/src/marjoramwharf/service/retry.py
+++ b/src/marjoramwharf/service/retry.py
@@ -1,6 +1,9 @@
-"""Policy and budget of retries and hedged requests.
+"""Policy and budget of retries and hedged calls.
 
-A retry of a call that may have run, and a hedged request, spend a token of a
+An attempt of a request is one call and, if that takes long and the request is
+idempotent, perhaps a second one at another worker: the hedged call.
+
+A retry of a call that may have run, and a hedged call, spend a token of a
 budget that grows with a share of the requests. A refused call did not run;
 its retry spends no token and is limited only by the number of attempts, since
 the refusals that follow a change of owner would use up the budget otherwise.
@@ -74,15 +77,15 @@
     def __init__(self) -> None:
         """Start without samples."""
         self._samples: deque[float] = deque(maxlen=_SAMPLES_COUNT)
-        self._unused_count = 0
-        self._threshold_s: float | None = None
+        self._samples_since_refresh_count = 0
+        self._delay_s: float | None = None
 
     def observe(self, latency_s: float) -> None:
         """Add the latency of a successful answer."""
         self._samples.append(latency_s)
-        self._unused_count += 1
+        self._samples_since_refresh_count += 1
 
-    def current_s(self) -> float | None:
+    def delay_s(self) -> float | None:
         """Return the delay, or ``None`` with too few samples.
 
         The delay is cached for 32 samples, so that not every request sorts
@@ -91,21 +94,21 @@
         if len(self._samples) < _MIN_SAMPLES_COUNT:
             return None
         if (
-            self._threshold_s is None
-            or self._unused_count >= _REFRESH_AFTER_COUNT
+            self._delay_s is None
+            or self._samples_since_refresh_count >= _REFRESH_AFTER_COUNT
         ):
             ordered = sorted(self._samples)
             median_s = ordered[len(ordered) // 2]
-            self._threshold_s = min(
+            self._delay_s = min(
                 ordered[int(len(ordered) * _HEDGE_QUANTILE)],
                 _MAX_MEDIAN_RATIO * median_s,
             )
-            self._unused_count = 0
-        return self._threshold_s
+            self._samples_since_refresh_count = 0
+        return self._delay_s
 
 
 class RetryPolicy:
-    """Decides on the retries and hedged requests of one entry."""
+    """Decides on the retries and hedged calls of one entry."""
 
     def __init__(self, budget: RetryBudget) -> None:
         """Use one budget for all services.
@@ -114,15 +117,15 @@
         """
         self.budget = budget
         self.is_hedging_enabled = True
-        self._latencies: dict[str, HedgeDelayEstimator] = {}
+        self._estimators: dict[str, HedgeDelayEstimator] = {}
 
     def observe(self, service: str, latency_s: float) -> None:
         """Record the latency of a successful answer.
 
         Failures are left out: they may be fast and would shorten the delay.
         """
-        quantile = self._latencies.setdefault(service, HedgeDelayEstimator())
-        quantile.observe(latency_s)
+        estimator = self._estimators.setdefault(service, HedgeDelayEstimator())
+        estimator.observe(latency_s)
 
     def may_retry(
         self,
@@ -132,7 +135,7 @@
         attempts_count: int,
         now_s: float,
     ) -> bool:
-        """Decide on a retry; spend a token if the call may have run."""
+        """Tell whether to retry; spend a token if the call may have run."""
         if attempts_count >= MAX_ATTEMPTS_COUNT or is_successful(outcome):
             return False
         if isinstance(outcome, CallRefused):
@@ -145,11 +148,11 @@
         *,
         is_idempotent: bool,
     ) -> float | None:
-        """Return the delay before a hedged call, or ``None`` for no hedging."""
-        quantile = self._latencies.get(service)
-        if quantile is None or not (is_idempotent and self.is_hedging_enabled):
+        """Return the delay before a hedged call; ``None`` if there is none."""
+        estimator = self._estimators.get(service)
+        if estimator is None or not (is_idempotent and self.is_hedging_enabled):
             return None
-        return quantile.current_s()
+        return estimator.delay_s()
 
 
 def is_successful(outcome: CallOutcome) -> bool:
@@ -160,6 +163,6 @@
 
 
 def backoff_s(attempts_count: int, rng: random.Random) -> float:
-    """Return a random backoff before the next attempt, in seconds."""
+    """Return a random backoff, in seconds, after so many attempts."""
     limit_s = min(_FIRST_BACKOFF_S * 2**attempts_count, _MAX_BACKOFF_S)
     return rng.uniform(0, limit_s)
--- a/src/marjoramwharf/service/router.py
+++ b/src/marjoramwharf/service/router.py
@@ -54,13 +54,15 @@
         round_trip_ms: RoundTripLookup,
         rng: random.Random,
     ) -> None:
-        """Start idle; ``round_trip_ms`` returns the delay to a worker."""
+        """Start without calls; ``round_trip_ms`` returns that to a worker."""
         self.routing = Routing.PREDICTED
         self._permits = permits
         self._latencies = latencies
         self._round_trip_ms = round_trip_ms
         self._rng = rng
+        # Start times of the calls in flight, by worker and permit serial.
         self._started_at_s: dict[WorkerId, dict[int, float]] = {}
+        # Turn (number of the choice) in which each worker was last chosen.
         self._last_turns: dict[WorkerId, int] = {}
         self._turn = 0
 
@@ -70,7 +72,7 @@
         excluded: frozenset[WorkerId],
         now_s: float,
     ) -> Permit | None:
-        """Take a permit of the sampled worker that ranks best, or ``None``."""
+        """Take a permit of the best worker in the sample, if any has one."""
         sampled = self._permits.candidates(
             service,
             now_s,
@@ -90,7 +92,7 @@
         return permit
 
     def record_call_end(self, permit: Permit) -> None:
-        """Record that a call of this entry to a worker has ended."""
+        """Record that the call under a permit has ended."""
         started = self._started_at_s.get(permit.worker_id, {})
         started.pop(permit.serial, None)
         if not started:
@@ -107,9 +109,9 @@
         The age of the oldest call in flight is a lower bound, so that a slow
         worker is recognised before its first slow answer arrives.
 
-        Observed latencies include the network delay. For a worker without
-        observations the mean of all workers is used, so the round trip is
-        added to prefer near workers.
+        Observed latencies include the network delay, but a worker without
+        observations is predicted to have the mean of all workers. So the
+        round trip is added, for every worker, to prefer near ones.
         """
         observed_ms = self._latencies.predict_ms(service, worker_id, now_s)
         started = self._started_at_s.get(worker_id)
--- a/src/marjoramwharf/service/settlement.py
+++ b/src/marjoramwharf/service/settlement.py
@@ -1,8 +1,9 @@
 """Settles calls in doubt and resolves the outcome of claimed requests.
 
-A permit in doubt stays in use until its worker confirms that the call ended
-or never started. A claimed request is resolved by asking the worker that the
-claim names.
+A call is in doubt if neither its whole answer nor a refusal arrived. Its permit
+stays in use until the worker confirms that the call ended or never started.
+The claim of a request is a stored record of its call and worker; the outcome
+of a claimed request is resolved by asking that worker.
 """
 
 from __future__ import annotations
@@ -36,6 +37,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingCall:
+    """A call in doubt; with ``is_cancelling`` its worker must stop it."""
+
     permit: Permit
     call_id: CallId
     is_cancelling: bool
@@ -77,7 +80,7 @@
     def forget(self, worker_id: WorkerId) -> None:
         """Stop settling the calls of a worker that was removed.
 
-        Their permits are dropped without a release.
+        Their permits are not released.
         """
         for scope in self._scopes.get(worker_id, ()):
             scope.cancel()
@@ -213,7 +216,8 @@
     """Return the outcome of a non-idempotent request by its key.
 
     ``None`` means that no claim with this key exists. ``NotRun`` is returned
-    only after the claim was withdrawn, so that no entry can run it later.
+    only after the claim was withdrawn, so that no entry can run it later; three
+    failed withdrawals make the outcome unknown.
     """
     for _ in range(_MAX_LOOKUP_TRIES_COUNT):
         try:
@@ -242,17 +246,20 @@
 async def withdraw_claim(
     claim: Claim,
     claims: ClaimStore,
-    not_run: NotRun,
+    answer_if_withdrawn: NotRun,
     outcome_key: str,
 ) -> NotRun | Unknown:
-    """Withdraw a claim; return ``not_run`` if no entry can take it over."""
+    """Withdraw a claim; return ``answer_if_withdrawn`` once it is deleted.
+
+    Else the result is ``Unknown``, since another entry may run the request.
+    """
     with trio.move_on_after(_WITHDRAW_TIMEOUT_S):
         try:
             is_withdrawn = await claims.withdraw(claim)
         except Failure as failure:
             return Unknown(failure.reason, failure.message, outcome_key)
         if is_withdrawn:
-            return not_run
+            return answer_if_withdrawn
         return Unknown(
             Reason.WORKER_REFUSED,
             'the request was taken over by a repeat',
@@ -273,7 +280,7 @@
     reply: SettleReply,
     outcome_key: str,
 ) -> NeverRan | Unknown:
-    """Resolve the reply "never", which holds only for the same incarnation."""
+    """Resolve the reply "never", a proof only from the same incarnation."""
     record = claim.record
     if record.incarnation and reply.incarnation == record.incarnation:
         return NeverRan(claim)
--- a/tests/service/fakes.py
+++ b/tests/service/fakes.py
@@ -47,16 +47,16 @@
 class FakeAgent:
     """A worker in memory that records calls, with faults set by tests.
 
-    ``cuts_answers`` loses answers after the run, ``status`` is the status of
-    the answers, ``refusal`` refuses every call, ``run_s`` is the duration of a
-    run, ``delays_s`` delays the arrival of the next calls and
+    ``truncates_answers`` leaves each call in doubt after its run, ``status`` is
+    the status of the answers, ``refusal`` refuses every call, ``run_s`` is the
+    duration of a run, ``delays_s`` delays the arrival of the next calls and
     ``settle_delays_s`` the replies to the next settle requests. ``restart``
     replaces the process by one without any recorded calls.
     """
 
     def __init__(self) -> None:
         """Start healthy."""
-        self.cuts_answers = False
+        self.truncates_answers = False
         self.is_unreachable = False
         self.is_down = False
         self.status = 200
@@ -129,7 +129,7 @@
             b' '.join((b'answer to', call.body)),
         )
         self._states[call.call_id] = SettleReply(CallState.FINISHED, answer)
-        if self.cuts_answers:
+        if self.truncates_answers:
             return CallInDoubt(call.call_id, Reason.ANSWER_CUT)
         return answer
 
--- a/tests/service/test_dispatch.py
+++ b/tests/service/test_dispatch.py
@@ -35,7 +35,7 @@
 
     def test_truncated_answer_is_retried(self) -> None:
         """Guards against a truncated answer that is forwarded as complete."""
-        self.first.cuts_answers = True
+        self.first.truncates_answers = True
 
         async def scenario(entry: Entry, _other: Entry) -> None:
             self.assertEqual(
@@ -50,7 +50,7 @@
 
     def test_call_in_doubt_is_never_answered_as_not_run(self) -> None:
         """Guards against "not run" after a call that may have run."""
-        self.first.cuts_answers = True
+        self.first.truncates_answers = True
         self.second.refusal = WorkerRefusal.FULL
 
         async def scenario(entry: Entry, _other: Entry) -> None:
@@ -204,7 +204,7 @@
 
     def test_cut_answer_is_settled(self) -> None:
         """Guards against "unknown" while the worker has the answer."""
-        self.first.cuts_answers = True
+        self.first.truncates_answers = True
 
         async def scenario(entry: Entry, _other: Entry) -> None:
             outcome = await entry.dispatcher.serve(make_request(key='k'))
@@ -436,7 +436,7 @@
 
     def test_unreachable_worker_leaves_it_unknown(self) -> None:
         """Guards against a guess about a call on a lost worker."""
-        self.first.cuts_answers = True
+        self.first.truncates_answers = True
         self.first.is_unreachable = True
 
         async def scenario(entry: Entry, other: Entry) -> None:
@@ -456,7 +456,7 @@
 
     def test_restart_after_the_run_leaves_it_unknown(self) -> None:
         """Guards against a second run after a lost answer."""
-        self.first.cuts_answers = True
+        self.first.truncates_answers = True
         self.first.is_unreachable = True
 
         async def scenario(entry: Entry, other: Entry) -> None:
--- a/tests/service/test_http_api.py
+++ b/tests/service/test_http_api.py
@@ -144,7 +144,7 @@
 
 
 class DrainTests(unittest.TestCase):
-    """Guards against a shutdown that cuts requests in flight."""
+    """Guards against a shutdown that aborts requests in flight."""
 
     def test_drain_waits_for_requests_in_flight(self) -> None:
         """Guards against a shutdown before the last answer."""
