--- a/src/marjoramwharf/machines/agent.py
+++ b/src/marjoramwharf/machines/agent.py
@@ -229,6 +229,7 @@
         self._incarnation = _read_incarnation(response) or self._incarnation
 
     async def _exchange_run(self, call: Call) -> CallOutcome:
+        """Send a run and read its answer; not connected, it is refused."""
         request = self._client.build_request(
             'POST',
             f'/run/{call.service}',
--- a/src/marjoramwharf/machines/calls.py
+++ b/src/marjoramwharf/machines/calls.py
@@ -183,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReply:
-    """Reply to a heartbeat that fences old epochs and extends the lease."""
+    """Reply to a heartbeat: highest epoch, runs, connections by entry."""
 
     epoch: Epoch
     leaving: bool
--- a/src/marjoramwharf/service/admission.py
+++ b/src/marjoramwharf/service/admission.py
@@ -167,6 +167,7 @@
             self._wake(self._waiters[id(dropped.queued)], dropped.answer)
 
     async def _wait(self, waiter: _Waiter, now_s: float) -> Permit | NotRun:
+        """Wait from ``now_s`` until the waiter is woken or its deadline."""
         timeout_s = waiter.queued.request.deadline_s - now_s
         try:
             with trio.move_on_after(timeout_s):
--- a/src/marjoramwharf/service/admission_queue.py
+++ b/src/marjoramwharf/service/admission_queue.py
@@ -175,6 +175,7 @@
         priority: Priority,
         min_end_s: float,
     ) -> QueuedRequest | None:
+        """Pop the next request whose deadline is not before ``min_end_s``."""
         teams = self._queues[priority]
         while True:
             nonempty = [each for each in teams.values() if each.requests]
--- a/src/marjoramwharf/service/dispatch.py
+++ b/src/marjoramwharf/service/dispatch.py
@@ -23,10 +23,10 @@
 
 
 class Dispatcher:
-    """Serves idempotent and non-idempotent requests."""
+    """Runs requests on workers and returns their outcomes."""
 
     def __init__(self, deps: DispatchDependencies) -> None:
-        """Build the dispatch of idempotent and of claimed requests."""
+        """Create a dispatcher for idempotent and one for claimed requests."""
         runner = CallRunner(deps)
         self._deps = deps
         self._idempotent = IdempotentDispatch(deps, runner)
