--- a/src/marjoramwharf/batch/capacity.py
+++ b/src/marjoramwharf/batch/capacity.py
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReservationRequest:
-    """A task that needs a worker.
+    """A request to reserve capacity for the next attempt of a task.
 
     ``fence`` is the fencing token that the attempt gets if it starts.
-    ``declared`` is the size that the team declared, ``demand`` the size to
-    reserve.
+    ``demand`` is the size to reserve: the size that the team declared
+    (``declared``; ``None`` if it is the same), corrected by observed usage.
     """
 
     task_id: TaskId
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoWorkerFound:
-    """No worker was found.
+    """The answer to a request for which no worker was found.
 
     ``Reason.NEVER_FITS`` means that no known worker is large enough even when
     it is empty. Every other reason is temporary.
@@ -66,7 +66,7 @@
         self,
         request: ReservationRequest,
     ) -> Reservation | NoWorkerFound:
-        """Find a worker and reserve capacity for a task on it."""
+        """Reserve capacity on a worker that has enough, if there is one."""
 
     async def release(self, reservation_id: str) -> None:
         """Release a reservation; a repeat has no effect."""
--- a/src/marjoramwharf/batch/decisions.py
+++ b/src/marjoramwharf/batch/decisions.py
@@ -1,7 +1,7 @@
 """Decisions of a job shard: functions from its state to new events.
 
-The journal calls them when it assembles a log entry. A decision that changes
-nothing returns no events.
+The journal calls them when it assembles a log entry, and applies the events
+that they return. A decision that changes nothing returns none.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     spec: JobSpec,
     now_ms: int,
 ) -> list[ev.Event]:
-    """Accept a job; raise ``KeyReused`` if its key belongs to another job."""
+    """Accept a new job; raise ``KeyReused`` if its key has another spec."""
     existing = state.jobs.get(job_id)
     if existing is None:
         return [ev.JobSubmitted(job_id, spec, now_ms)]
@@ -60,7 +60,7 @@
     placement: Placement,
     attempt: int,
 ) -> list[ev.Event]:
-    """Start a task, unless it may no longer start."""
+    """Start an attempt of a task, unless the task may no longer start."""
     task = state.tasks.get(task_id)
     if task is None or not may_start(state, policy, task):
         return []
@@ -72,7 +72,7 @@
     report: TaskReport,
     freed: list[Placement],
 ) -> list[ev.Event]:
-    """End an attempt once and append its placement to ``freed``.
+    """End an attempt, if not done yet; append its placement to ``freed``.
 
     A report of another attempt, or of one that is still running, has no effect.
     """
@@ -92,7 +92,7 @@
     worker_id: WorkerId,
     freed: list[Placement],
 ) -> list[ev.Event]:
-    """End the attempts on a worker whose instance no longer exists.
+    """End the attempts on a worker that no longer exists.
 
     Their placements are appended to ``freed``.
     """
@@ -105,7 +105,7 @@
 
 
 def mark_impossible(state: ev.ShardState, task_id: TaskId) -> list[ev.Event]:
-    """Mark the job of a waiting task as impossible to place."""
+    """Mark a waiting task's job as impossible: no worker is large enough."""
     task = state.tasks.get(task_id)
     if task is None or task.state is not TaskState.WAITING:
         return []
@@ -113,7 +113,7 @@
 
 
 def reconsider_impossible_jobs(state: ev.ShardState) -> list[ev.Event]:
-    """Return all impossible jobs to the waiting state."""
+    """Let all impossible jobs wait again."""
     return [
         ev.JobReconsidered(job_id)
         for job_id in state.jobs
@@ -138,6 +138,7 @@
     task: Task,
     report: TaskReport,
 ) -> ev.Event | None:
+    """Return the event that ends an attempt, ``None`` if it still runs."""
     if report.phase in {TaskPhase.RUNNING, TaskPhase.THROTTLED}:
         return None
     ended: TaskState | None = None
--- a/src/marjoramwharf/batch/estimates.py
+++ b/src/marjoramwharf/batch/estimates.py
@@ -47,7 +47,7 @@
         self._weights[bucket] = self._weights.get(bucket, 0) + 1
 
     def count(self, now_s: float) -> float:
-        """Return the number of observations, weighted by their decay."""
+        """Return the sum of the decayed weights of all observations."""
         self._decay(now_s)
         return sum(self._weights.values())
 
@@ -105,7 +105,7 @@
             now_s=now_s,
         )
 
-    def correct(
+    def correct_size(
         self,
         task_class: str,
         declared: Demand,
@@ -115,25 +115,25 @@
     ) -> Demand:
         """Return the size to reserve for a task.
 
-        ``used`` is the usage observed for this particular task; the result is
-        never below it. Accelerators are not shared between tasks, so their
-        declared count is not corrected.
+        The declared size is corrected by the usage of the class, but never to
+        less than ``used``, the usage that this very task had. Accelerators are
+        not shared between tasks, so their declared count is not corrected.
         """
         cpu_ratio = self._estimate_ratio(self._cpu, task_class, now_s)
         memory_ratio = self._estimate_ratio(self._memory, task_class, now_s)
-        observed = used or Demand(0, 0)
+        least = used or Demand(0, 0)
         return Demand(
             cpu_millicores=max(
                 math.ceil(declared.cpu_millicores * cpu_ratio),
-                observed.cpu_millicores,
+                least.cpu_millicores,
             ),
             memory_mb=max(
                 math.ceil(declared.memory_mb * memory_ratio),
-                observed.memory_mb,
+                least.memory_mb,
             ),
             accelerators_count=max(
                 declared.accelerators_count,
-                observed.accelerators_count,
+                least.accelerators_count,
             ),
         )
 
--- a/src/marjoramwharf/batch/events.py
+++ b/src/marjoramwharf/batch/events.py
@@ -30,7 +30,7 @@
 
 
 class _Event(Struct, frozen=True, array_like=True, tag=True):
-    """Base of all events; encoding as an array keeps one near 120 bytes."""
+    """Base of all events; encoded as an array, an event has some 120 bytes."""
 
 
 class JobSubmitted(_Event, frozen=True):
@@ -50,7 +50,7 @@
 
 
 class TaskReturned(_Event, frozen=True):
-    """An attempt ended without a result; the task is waiting again."""
+    """An attempt ended without a result; the task returned to waiting."""
 
     task_id: TaskId
     attempt: int
@@ -73,7 +73,7 @@
 
 
 class JobSetAside(_Event, frozen=True):
-    """A job was marked impossible: its waiting tasks can never run."""
+    """A job was set aside as impossible: its waiting tasks fit no worker."""
 
     job_id: JobId
     reason: Reason
@@ -112,7 +112,10 @@
 
 
 class ShardState:
-    """Jobs and tasks of one shard, with indexes on them."""
+    """Jobs and tasks of one shard, with indexes on them.
+
+    ``held_by_worker`` has the tasks that each worker may be running.
+    """
 
     def __init__(self) -> None:
         """Create a state without jobs."""
@@ -139,11 +142,11 @@
         return derive_job_state({task.state for task in self.tasks_of(job_id)})
 
     def find_key_holder(self, exclusive_key: str) -> JobId | None:
-        """Return the job that has started and still holds an exclusive key."""
+        """Return the job with an exclusive key that has begun and not ended."""
         for job_id in self.jobs_by_exclusive_key.get(exclusive_key, ()):
             tasks = tuple(self.tasks_of(job_id))
             has_begun = any(task.attempt for task in tasks)
-            if has_begun and any(_is_open(task) for task in tasks):
+            if has_begun and any(_may_still_run(task) for task in tasks):
                 return job_id
         return None
 
@@ -157,11 +160,10 @@
             spec = job.spec
             self.job_by_key[spec.team, spec.idempotency_key] = job_id
             if spec.exclusive_key is not None:
-                same = self.jobs_by_exclusive_key.setdefault(
-                    spec.exclusive_key,
-                    {},
+                jobs_of_key = self.jobs_by_exclusive_key.setdefault(
+                    spec.exclusive_key, {}
                 )
-                same[job_id] = None
+                jobs_of_key[job_id] = None
         return former
 
     def put_task(self, task_id: TaskId, task: Task | None) -> Task | None:
@@ -178,7 +180,7 @@
         return former
 
     def encode_snapshot(self) -> bytes:
-        """Encode the state for a snapshot."""
+        """Return the MessagePack body of a snapshot, for ``replay``."""
         return msgpack.encode(
             StateImage(
                 self.last_attempt,
@@ -191,9 +193,9 @@
         spec = job.spec
         self.job_by_key.pop((spec.team, spec.idempotency_key), None)
         if spec.exclusive_key is not None:
-            same = self.jobs_by_exclusive_key[spec.exclusive_key]
-            same.pop(job.job_id)
-            if not same:
+            jobs_of_key = self.jobs_by_exclusive_key[spec.exclusive_key]
+            jobs_of_key.pop(job.job_id)
+            if not jobs_of_key:
                 self.jobs_by_exclusive_key.pop(spec.exclusive_key)
 
     def _index_task(self, task: Task) -> None:
@@ -266,21 +268,21 @@
             for index, task_id in enumerate(job.task_ids):
                 undo.put_task(task_id, Task(task_id, job.job_id, index))
         case JobForgotten():
-            for gone in state.jobs[event.job_id].task_ids:
-                undo.put_task(gone, None)
+            for removed_id in state.jobs[event.job_id].task_ids:
+                undo.put_task(removed_id, None)
             undo.put_job(event.job_id, None)
         case TaskStarted() | TaskReturned() | TaskEnded():
             _apply_task_event(state, undo, state.tasks[event.task_id], event)
         case JobCancelled() | JobSetAside() | JobReconsidered():
             for task in tuple(state.tasks_of(event.job_id)):
-                _apply_job_event(state, undo, task, event)
+                _apply_job_event_to_task(state, undo, task, event)
 
 
-def replay(image: bytes | None, events: Iterable[Event]) -> ShardState:
-    """Rebuild the state from a snapshot and the events after it."""
+def replay(snapshot: bytes | None, events: Iterable[Event]) -> ShardState:
+    """Rebuild the state from a snapshot's body and the events after it."""
     state = ShardState()
-    if image is not None:
-        decoded = msgpack.decode(image, type=StateImage)
+    if snapshot is not None:
+        decoded = msgpack.decode(snapshot, type=StateImage)
         state.last_attempt = decoded.last_attempt
         for job in decoded.jobs:
             state.put_job(job.job_id, job)
@@ -319,12 +321,13 @@
     _put_transition(undo, task, changed)
 
 
-def _apply_job_event(
+def _apply_job_event_to_task(
     state: ShardState,
     undo: UndoLog,
     task: Task,
     event: JobCancelled | JobSetAside | JobReconsidered,
 ) -> None:
+    """Apply a job's event to a task; it changes only tasks in some states."""
     changed: Task | None = None
     match event, task.state:
         case JobCancelled(), TaskState.WAITING | TaskState.IMPOSSIBLE:
@@ -354,7 +357,7 @@
     undo.put_task(task.task_id, changed)
 
 
-def _is_open(task: Task) -> bool:
+def _may_still_run(task: Task) -> bool:
     return task.state is TaskState.WAITING or task.state in HELD_STATES
 
 
--- a/src/marjoramwharf/batch/failing_workers.py
+++ b/src/marjoramwharf/batch/failing_workers.py
@@ -26,6 +26,8 @@
 
 @dataclass(slots=True)
 class _FailureRecord:
+    """Jobs that failed on a worker, and the length of its next exclusion."""
+
     failed_jobs: set[JobId] = field(default_factory=set)
     next_exclusion_s: float = _INITIAL_EXCLUSION_S
 
--- a/src/marjoramwharf/batch/http_api.py
+++ b/src/marjoramwharf/batch/http_api.py
@@ -97,7 +97,7 @@
         return _response(await self._call_owner(shard, calls.SubmitCall(spec)))
 
     async def status(self, job_id: str) -> Response:
-        """Return the status of a job, at the latest after ``wait_s``."""
+        """Return the status of a job; wait up to ``wait_s`` for a final one."""
         query = convert(request.args.to_dict(), StatusQuery, strict=False)
         shard = self._shard_of_id(job_id)
         if shard is None:
@@ -106,18 +106,18 @@
         return _response(await self._call_owner(shard, call))
 
     async def cancel(self, job_id: str) -> Response:
-        """Cancel one job."""
+        """Cancel one job, or answer that there is no job with the id."""
         shard = self._shard_of_id(job_id)
         if shard is None:
             return _error(Reason.UNKNOWN_JOB, f'no job {job_id}')
         call = calls.CancelCall((JobId(job_id),))
-        status, body = await self._call_owner(shard, call)
-        if status == 200 and not json.decode(body)['cancelled']:
+        http_status, body = await self._call_owner(shard, call)
+        if http_status == 200 and not json.decode(body)['cancelled']:
             return _error(Reason.UNKNOWN_JOB, f'no job {job_id}')
-        return _response((status, body))
+        return _response((http_status, body))
 
     async def cancel_many(self) -> Response:
-        """Cancel many jobs, with one call per shard."""
+        """Cancel many jobs, with one call per shard; ignore malformed ids."""
         body = await _read_limited(self.max_body_bytes)
         parsed = decode_json(body, CancelRequest)
         by_shard: defaultdict[ShardId, list[JobId]] = defaultdict(list)
@@ -177,10 +177,9 @@
         *,
         limit: int | None = None,
     ) -> Response:
-        """Merge the answers of shards; list those that failed separately."""
+        """Merge the answers of shards; put failures under ``failed_shards``."""
         found: list[Any] = []
         failed: dict[str, Any] = {}
-
         async with trio.open_nursery() as nursery:
             for shard, call in calls_by_shard.items():
                 nursery.start_soon(
@@ -204,9 +203,9 @@
         found: list[Any],
         failed: dict[str, Any],
     ) -> None:
-        status, body = await self._call_owner(shard, call)
+        http_status, body = await self._call_owner(shard, call)
         answer = json.decode(body)
-        if status == 200:
+        if http_status == 200:
             found.extend(answer[field])
         else:
             failed[str(shard)] = answer
@@ -276,8 +275,8 @@
 
 
 def _response(answer: calls.Answer) -> Response:
-    status, body = answer
+    http_status, body = answer
     retry_after_s: float | None = None
-    if status in {202, 429, 503}:
+    if http_status in {202, 429, 503}:
         retry_after_s = json.decode(body).get('retry_after_s')
-    return encoded_response(status, body, retry_after_s=retry_after_s)
+    return encoded_response(http_status, body, retry_after_s=retry_after_s)
--- a/src/marjoramwharf/batch/job.py
+++ b/src/marjoramwharf/batch/job.py
@@ -37,7 +37,7 @@
 
     ``PLACED`` means that a start is committed, so the task may be running.
     ``STOPPING`` is a placed task whose job was cancelled and whose worker has
-    not confirmed the stop yet.
+    not confirmed the stop yet. An ``IMPOSSIBLE`` task fits on no worker.
     """
 
     WAITING = 'waiting'
@@ -61,7 +61,7 @@
     IMPOSSIBLE = 'impossible'
 
 
-# States in which a worker may be running the task.
+# States of a held task, that is, one that a worker may be running.
 HELD_STATES = frozenset((TaskState.PLACED, TaskState.STOPPING))
 
 # States that a job never leaves.
@@ -115,7 +115,7 @@
 
 
 class JobSpec(Struct, frozen=True, forbid_unknown_fields=True):
-    """A job as a team submits it; an equal spec repeats the submission."""
+    """A job as a team submits it; an equal spec is a repeated submission."""
 
     team: Annotated[TeamId, Meta(min_length=1, max_length=64)]
     idempotency_key: Annotated[str, Meta(min_length=1, max_length=128)]
@@ -191,7 +191,7 @@
 
 
 def derive_job_state(states: Collection[TaskState]) -> JobState:
-    """Derive the state of a job from the states of its tasks."""
+    """Return a job's state, by the order of precedence of its tasks' states."""
     present = frozenset(states)
     if present & HELD_STATES:
         return JobState.RUNNING
--- a/src/marjoramwharf/batch/job_calls.py
+++ b/src/marjoramwharf/batch/job_calls.py
@@ -22,7 +22,7 @@
 
 
 class SubmitCall(Struct, frozen=True, tag='submit'):
-    """Submits a job."""
+    """Submits a job; the answer has the id of the job."""
 
     spec: JobSpec
 
@@ -38,7 +38,7 @@
 
 
 class CancelCall(Struct, frozen=True, tag='cancel'):
-    """Cancels jobs of one shard."""
+    """Cancels jobs of one shard; the answer lists those that exist."""
 
     job_ids: tuple[JobId, ...]
 
--- a/src/marjoramwharf/batch/journal.py
+++ b/src/marjoramwharf/batch/journal.py
@@ -99,7 +99,7 @@
         self.is_ownership_lost = False
         self._store = store
         self._prefix = f'/jobs/{shard}/'
-        self._owner = owner
+        self._ownership_guard = owner
         self._part_bytes = snapshot_part_bytes
         self._snapshot_after = snapshot_after_entries_count
         self._interval_s = commit_interval_s
@@ -185,14 +185,14 @@
         A snapshot is used only if all of its parts are present. One that is
         half-written is ignored, and the log before it still exists.
         """
-        image = self.state.encode_snapshot()
+        body = self.state.encode_snapshot()
         size = self._part_bytes
         name = _snapshot_name(self._last_seq)
-        count = -(-len(image) // size)
+        count = -(-len(body) // size)
         parts = [
             Write(
                 f'{self._prefix}snap/{name}/{_part_name(index, count)}',
-                image[index * size : (index + 1) * size],
+                body[index * size : (index + 1) * size],
             )
             for index in range(count)
         ]
@@ -209,7 +209,7 @@
 
     async def _commit_guarded(self, writes: Sequence[Write]) -> None:
         outcome = await self._store.commit(
-            [self._owner],
+            [self._ownership_guard],
             writes,
             urgency=Urgency.SNAPSHOT,
         )
@@ -235,6 +235,7 @@
             _LOG.warning('snapshot not written', reason=failure.reason.value)
 
     async def _write_group(self) -> None:
+        """Write one entry; revert its events if it was certainly not stored."""
         undo = UndoLog(self.state)
         events = self._take_group(undo)
         failure = None
@@ -248,6 +249,7 @@
         self._writing = []
 
     def _take_group(self, undo: UndoLog) -> list[Event]:
+        """Apply queued proposals up to the size limit; return their events."""
         events: list[Event] = []
         size = 0
         while self._queue and size < _MAX_ENTRY_BYTES:
@@ -274,6 +276,7 @@
             self._last_seq += 1
             self._log_keys.append(key)
         elif not isinstance(failure, (StoreUnavailable, StoreBudgetSpent)):
+            # Another entry owns the shard, or the end of the log is unknown.
             self.is_ownership_lost = True
         return failure
 
@@ -289,12 +292,12 @@
         report "not run" for a write that may still reach the store.
         """
         outcome = await self._write_once(key, body)
-        is_in_doubt = isinstance(outcome, StoreAnswerLost)
-        while is_in_doubt:
+        may_be_written = isinstance(outcome, StoreAnswerLost)
+        while may_be_written:
             if await self._is_written(key, body):
                 return None
             outcome = await self._write_once(key, body)
-            is_in_doubt = isinstance(outcome, Failure) and not isinstance(
+            may_be_written = isinstance(outcome, Failure) and not isinstance(
                 outcome,
                 NotOwner,
             )
@@ -310,7 +313,7 @@
     async def _write_once(self, key: str, body: bytes) -> Failure | None:
         try:
             outcome = await self._store.commit(
-                [self._owner, Guard(key, 0)],
+                [self._ownership_guard, Guard(key, 0)],
                 [Write(key, body)],
                 urgency=Urgency.JOB,
             )
@@ -331,6 +334,7 @@
                 return stored is not None and stored.body == body
 
     def _fail_all(self) -> None:
+        """End all waiting proposals after the ownership has ended."""
         for queued in self._queue:
             queued.failure = NotOwner(message='the shard has another owner')
             queued.settled.set()
@@ -379,13 +383,13 @@
     entries: dict[int, bytes] = {}
     snapshots: dict[str, dict[str, bytes]] = {}
     for stored in reading.found:
-        head, _, last = stored.key.rpartition('/')
+        parent, _, last = stored.key.rpartition('/')
         if '/log/' in stored.key:
             entries[int(last)] = stored.body
         else:
-            parts = snapshots.setdefault(head.rpartition('/')[2], {})
+            parts = snapshots.setdefault(parent.rpartition('/')[2], {})
             parts[last] = stored.body
-    through, image = _latest_complete(snapshots)
+    through, snapshot = _latest_complete(snapshots)
     last_seq = max(entries, default=through)
     events: list[Event] = []
     for seq in range(through + 1, last_seq + 1):
@@ -393,12 +397,13 @@
             raise JournalDamaged(message=f'log entry {seq} is missing')
         entry = msgpack.decode(entries[seq], type=LogEntry)
         events.extend(entry.events)
-    return replay(image, events), max(through, last_seq)
+    return replay(snapshot, events), max(through, last_seq)
 
 
 def _latest_complete(
     snapshots: dict[str, dict[str, bytes]],
 ) -> tuple[int, bytes | None]:
+    """Return the last entry in the newest complete snapshot, and its body."""
     for name in sorted(snapshots, reverse=True):
         parts = snapshots[name]
         count = int(min(parts).rpartition('-')[2])
--- a/src/marjoramwharf/batch/ordering.py
+++ b/src/marjoramwharf/batch/ordering.py
@@ -73,7 +73,7 @@
         return False
     job = state.jobs[task.job_id]
     key = job.spec.exclusive_key
-    if key is not None and not _is_key_free(state, key, task.job_id):
+    if key is not None and not _is_exclusive_key_free(state, key, task.job_id):
         return False
     return _QuotaTracker(state, policy).try_charge(job, task)
 
@@ -88,6 +88,7 @@
 
 
 def _startable_jobs(state: ShardState, policy: ShardPolicy) -> list[Job]:
+    """Return the jobs to start, by priority; one for each exclusive key."""
     taken: set[str] = set()
     startable: list[Job] = []
     ranked = sorted(
@@ -99,7 +100,9 @@
         key = job.spec.exclusive_key
         if key is None:
             startable.append(job)
-        elif key not in taken and _is_key_free(state, key, job.job_id):
+        elif key not in taken and _is_exclusive_key_free(
+            state, key, job.job_id
+        ):
             taken.add(key)
             startable.append(job)
     return startable
@@ -113,7 +116,8 @@
     return waiting if job.spec.exclusive_key is None else waiting[:1]
 
 
-def _is_key_free(state: ShardState, key: str, job_id: JobId) -> bool:
+def _is_exclusive_key_free(state: ShardState, key: str, job_id: JobId) -> bool:
+    """Tell whether no other job has begun with the key and no task is held."""
     if state.find_key_holder(key) not in {None, job_id}:
         return False
     return not any(
--- a/src/marjoramwharf/batch/outcomes.py
+++ b/src/marjoramwharf/batch/outcomes.py
@@ -23,7 +23,7 @@
 
 
 class OutcomeCommitter:
-    """Keeps ends of attempts until they are committed and released."""
+    """Retries commits of ends and releases of reservations until they work."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         capacity: CapacityClient,
         worker_failures: WorkerFailureTracker,
     ) -> None:
-        """Start with nothing to retry; ``shards`` are those owned at present."""
+        """Start with nothing to retry; ``shards`` are those owned now."""
         self._shards = shards
         self._capacity = capacity
         self._worker_failures = worker_failures
@@ -74,12 +74,12 @@
             return
         self._unreleased.pop(reservation_id, None)
 
-    def mark_instance_gone(self, worker_id: WorkerId) -> None:
-        """Record that an instance left the platform's list."""
+    def mark_worker_gone(self, worker_id: WorkerId) -> None:
+        """Record that a worker left the platform's list; its attempts end."""
         self._gone_workers[worker_id] = None
 
-    def mark_instance_seen(self, worker_id: WorkerId) -> None:
-        """Record that an instance has answered and is not gone."""
+    def mark_worker_seen(self, worker_id: WorkerId) -> None:
+        """Record that a worker has answered, so it is not gone."""
         self._gone_workers.pop(worker_id, None)
 
     async def run(self, pause_s: float) -> None:
--- a/src/marjoramwharf/batch/placement.py
+++ b/src/marjoramwharf/batch/placement.py
@@ -55,7 +55,7 @@
 class _IndexedWorker:
     """A worker with its free and total capacity, its bucket and its tasks.
 
-    It takes no tasks before ``cordoned_until_s``.
+    It takes no tasks before ``excluded_until_s``.
     """
 
     worker: Worker
@@ -63,7 +63,7 @@
     total: Demand
     bucket: tuple[int, int] = (-1, -1)
     position: int = -1
-    cordoned_until_s: float = 0
+    excluded_until_s: float = 0
     tasks: dict[TaskId, tuple[Demand, str]] = field(default_factory=dict)
 
 
@@ -115,18 +115,18 @@
         if not self._capacity_counts[indexed.total]:
             self._capacity_counts.pop(indexed.total)
 
-    def cordon(self, worker_id: WorkerId, until_s: float) -> None:
+    def exclude(self, worker_id: WorkerId, until_s: float) -> None:
         """Exclude a worker from new placements until a time."""
         indexed = self._workers.get(worker_id)
         if indexed is not None:
-            indexed.cordoned_until_s = until_s
+            indexed.excluded_until_s = until_s
 
     def place(
         self,
         request: PlacementRequest,
         now_s: float,
     ) -> WorkerId | NoFit:
-        """Choose a worker and charge the task's size to its free capacity."""
+        """Choose a worker and charge the task to it, or tell why none fits."""
         best: _IndexedWorker | None = None
         best_score = float('inf')
         for indexed in self._sample_eligible(request, now_s):
@@ -200,6 +200,7 @@
         request: PlacementRequest,
         now_s: float,
     ) -> float:
+        """Return the cost of a placement; the lowest one is chosen."""
         worker = indexed.worker
         racks = self._job_racks.get(request.job)
         rack_share: float = 0
@@ -273,7 +274,7 @@
 ) -> bool:
     return (
         _fits(indexed.free, request.demand)
-        and indexed.cordoned_until_s <= now_s
+        and indexed.excluded_until_s <= now_s
         and indexed.worker.rack not in request.avoid_racks
         and indexed.worker.worker_id not in request.avoid_workers
     )
--- a/src/marjoramwharf/batch/retry_pauses.py
+++ b/src/marjoramwharf/batch/retry_pauses.py
@@ -1,4 +1,4 @@
-"""Fixed delays before failed operations are tried again."""
+"""Fixed delays before failed operations are retried."""
 
 from __future__ import annotations
 
--- a/src/marjoramwharf/batch/runner.py
+++ b/src/marjoramwharf/batch/runner.py
@@ -3,7 +3,7 @@
 The guarantees follow from the order of the steps: reserve, commit the start,
 call the worker, commit the outcome, release the reservation. A task whose
 start is committed is never started again until its worker reports that the
-attempt ended or never ran, or its instance has left the platform's list.
+attempt ended or never ran, or the worker has left the platform's list.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     """Intervals and limits for the starts of one entry.
 
     ``max_active_calls_count`` limits the calls for tasks that are in flight,
-    ``max_scanned_tasks_count`` the ready tasks that one poll examines.
+    ``max_scanned_tasks_count`` the ready tasks of a shard examined per poll.
     """
 
     poll_s: float = 0.1
@@ -82,8 +82,8 @@
     async def serve_shard(self, shard: JobShard) -> None:
         """Serve a recovered shard until it has another owner.
 
-        Tasks that the former owner started count as held until their workers'
-        reports tell how they ended.
+        Tasks that the former owner started count as running until their
+        workers' reports tell how they ended.
         """
         self._shards[shard.shard] = shard
         with ExitStack() as stack:
@@ -94,7 +94,7 @@
         """Return the workers that may be running tasks of the owned shards.
 
         After a takeover, the caller compares them with the platform's list
-        and calls ``on_instance_gone`` for those that are missing there.
+        and calls ``on_worker_gone`` for those that are missing there.
         """
         return frozenset(
             worker_id
@@ -132,7 +132,7 @@
         ``shards`` are those for which the reply is complete; ``None`` means
         all.
         """
-        self._outcomes.mark_instance_seen(worker_id)
+        self._outcomes.mark_worker_seen(worker_id)
         foreign: list[TaskReport] = []
         settler = self._settler
         reported = self._reported_or_active(reply)
@@ -158,15 +158,15 @@
                     nursery.start_soon(self._stop, task)
         return tuple(foreign)
 
-    def on_instance_gone(self, worker_id: WorkerId) -> None:
-        """Let the tasks of an instance wait again after it left the list.
+    def on_worker_gone(self, worker_id: WorkerId) -> None:
+        """Let a worker's tasks wait again after it left the platform's list.
 
         The commit is retried until the store accepts it.
         """
-        self._outcomes.mark_instance_gone(worker_id)
+        self._outcomes.mark_worker_gone(worker_id)
 
     async def evict(self, task_id: TaskId) -> bool:
-        """Checkpoint and stop a task, which resumes from there later.
+        """Stop a task at a checkpoint, from which its next attempt resumes.
 
         Returns false if the task is not running, has another call in flight,
         or its worker did not answer.
@@ -203,6 +203,7 @@
         self,
         reply: LeaseReply,
     ) -> frozenset[tuple[TaskId, tuple[int, int]]]:
+        """Return the attempts in a reply and those with a call in flight."""
         reported = {(report.task_id, report.fence) for report in reply.tasks}
         for task_id in self._active:
             shard = self._shard_of(task_id)
--- a/src/marjoramwharf/batch/settling.py
+++ b/src/marjoramwharf/batch/settling.py
@@ -1,4 +1,4 @@
-"""Determines the outcomes of attempts from their workers, and stops them."""
+"""Stops attempts, and finds out from their workers how they ended."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 # A reply can be older than a start that was acknowledged meanwhile, so a single
 # reply without a task proves nothing. After the second one, the worker is asked
 # to stop the attempt, which also tells whether it ran.
-_MAX_MISSED_REPLIES_COUNT = 2
+_MAX_REPLIES_WITHOUT_TASK_COUNT = 2
 
 
 @dataclass(slots=True)
@@ -34,10 +34,10 @@
     get_agent: AgentLookup
     outcomes: OutcomeCommitter
     pauses: RetryPauses
-    _misses: dict[TaskId, int] = field(default_factory=dict)
+    _absences: dict[TaskId, int] = field(default_factory=dict)
 
     async def stop(self, task: Task) -> bool:
-        """Stop an attempt or find out how it ended.
+        """Stop an attempt, or find out how it ended, and commit the end.
 
         Returns false if the worker can't be reached.
         """
@@ -73,11 +73,11 @@
         if report.phase not in RUNNING_PHASES:
             await self.outcomes.commit_end(report)
             return
-        self._misses.pop(report.task_id, None)
+        self._absences.pop(report.task_id, None)
         task = shard.state.tasks.get(report.task_id)
         if task is not None and task.fence == report.fence:
             return
-        # The attempt was given up, for example because its instance left the
+        # The attempt was given up, for example because its worker left the
         # list and came back. A higher epoch belongs to a later owner.
         agent = self.get_agent(worker_id)
         if agent is not None and report.fence[0] <= shard.epoch:
@@ -102,9 +102,9 @@
         for task_id in tuple(shard.state.held_by_worker.get(worker_id, ())):
             task = shard.state.tasks[task_id]
             if (task_id, task.fence) in reported:
-                self._misses.pop(task_id, None)
+                self._absences.pop(task_id, None)
                 continue
-            self._misses[task_id] = self._misses.get(task_id, 0) + 1
-            if self._misses[task_id] >= _MAX_MISSED_REPLIES_COUNT:
-                self._misses.pop(task_id)
+            self._absences[task_id] = self._absences.get(task_id, 0) + 1
+            if self._absences[task_id] >= _MAX_REPLIES_WITHOUT_TASK_COUNT:
+                self._absences.pop(task_id)
                 yield task
--- a/src/marjoramwharf/batch/shard.py
+++ b/src/marjoramwharf/batch/shard.py
@@ -70,7 +70,6 @@
         ``Journal.commit``.
         """
         job_id = job_id_of(spec, self.shard)
-
         await self._commit(
             partial(
                 decisions.submit_job,
@@ -195,7 +194,6 @@
         attempt will never run.
         """
         freed: list[Placement] = []
-
         await self._commit(
             partial(decisions.end_attempt, report=report, freed=freed),
         )
--- a/src/marjoramwharf/batch/task_starter.py
+++ b/src/marjoramwharf/batch/task_starter.py
@@ -98,6 +98,7 @@
         request: ReservationRequest,
         found: Reservation,
     ) -> TaskStart | None:
+        """Commit a start, or release the reservation if it can't happen."""
         try:
             start = await shard.start(
                 request.task_id,
--- a/src/marjoramwharf/contracts/_claim_lease.py
+++ b/src/marjoramwharf/contracts/_claim_lease.py
@@ -5,12 +5,12 @@
 from marjoramwharf.ids import LeaseId
 from marjoramwharf.links.store import Store
 
-# Time buckets, and so leases, within the lifetime of a claim.
+# A time bucket is 1/20 of the lifetime of a claim.
 _BUCKETS_COUNT = 20
 
 
 class BucketLease:
-    """Grants one store lease for each time bucket.
+    """Grants one store lease for all claims written in a time bucket.
 
     A lease is never extended, so the claims of a bucket expire together.
     """
--- a/src/marjoramwharf/contracts/_claim_writer.py
+++ b/src/marjoramwharf/contracts/_claim_writer.py
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingWrite:
-    """A queued write; a ``None`` record deletes the claim."""
+    """A queued write; revision 0 creates, a ``None`` record deletes a claim."""
 
     key: str
     revision: int
@@ -58,7 +58,11 @@
 
 
 class ClaimWriter:
-    """Queues writes of claims and commits them in groups."""
+    """Queues writes of claims and commits them in groups.
+
+    An urgent write has a waiting caller. A completion stores the answer of a
+    call in the background, and is retried after a failure.
+    """
 
     def __init__(
         self,
@@ -84,7 +88,7 @@
         await self._drained.wait()
 
     def add(self, pending: PendingWrite) -> bool:
-        """Queue a write; return ``False`` if too many completions wait."""
+        """Queue a write; return ``False`` for a completion if too many wait."""
         queue = self._urgent if pending.is_urgent else self._completions
         if queue is self._completions and len(queue) >= _MAX_COMPLETIONS_COUNT:
             return False
@@ -118,7 +122,7 @@
         self._drained.set()
 
     async def _write_next(self) -> bool:
-        """Write one group; return whether no completion of it failed.
+        """Write one group; return false if a completion has to be retried.
 
         Failed completions go back to the head of their queue.
         """
@@ -144,17 +148,17 @@
 
     async def _commit_group(self, group: Sequence[PendingWrite]) -> None:
         try:
-            outcome = await self._commit(group)
+            revision = await self._commit(group)
         except StoreAnswerLost:
-            outcome = None
+            revision = None
         except Failure as failure:
             self._lease.mark_suspect()
             for pending in group:
                 pending.resolve(failure)
             return
-        if outcome is not None:
+        if revision is not None:
             for pending in group:
-                pending.resolve(_outcome_of_commit(pending, outcome))
+                pending.resolve(_outcome_of_commit(pending, revision))
             return
         # A conflict or a lost answer of a group does not tell which of its
         # writes are affected.
@@ -169,6 +173,7 @@
             pending.resolve(failure)
 
     async def _write_and_verify(self, pending: PendingWrite) -> ClaimOutcome:
+        """Write a claim and read it back, since an answer may be lost."""
         for _ in range(_MAX_TRIES_COUNT):
             found = await self.read(pending.key)
             if _revision(found) != pending.revision:
--- a/src/marjoramwharf/contracts/_note_acceptance.py
+++ b/src/marjoramwharf/contracts/_note_acceptance.py
@@ -1,4 +1,7 @@
-"""Acceptance of a release note by compare-and-swap on the head record."""
+"""Acceptance of a release note by compare-and-swap on the head record.
+
+The head record, or head, is the stored configuration in force.
+"""
 
 from __future__ import annotations
 
@@ -67,7 +70,7 @@
         self._known_revision = known_revision
 
     async def accept(self, note: ReleaseNote, based_on: int) -> Answer:
-        """Accept a note, or return why not; rebase up to ``MAX_REBASES``."""
+        """Accept a note or return why not; up to ``MAX_REBASES`` more tries."""
         is_in_doubt = False
         for attempt in range(MAX_REBASES + 1):
             await self._back_off(attempt)
@@ -92,6 +95,7 @@
         note: ReleaseNote,
         based_on: int,
     ) -> Answer | None:
+        """Try to accept a note; ``None`` means that a new try is needed."""
         repeat = await self._find_repeat(note)
         if repeat is not None:
             return repeat
@@ -121,6 +125,7 @@
         based_on: int,
         configuration: Configuration,
     ) -> Answer | None:
+        """Return why a note can't follow those since its base, if it can't."""
         newest = configuration.revision
         if based_on > newest:
             return _refuse_base(f'revision {based_on} does not exist')
@@ -159,7 +164,7 @@
                 failure.message,
                 failure.problems,
             )
-        entry = records.HistoryEntry(
+        accepted = records.HistoryEntry(
             after.revision,
             self._now_ms(),
             self._entry_id,
@@ -169,7 +174,9 @@
             after.revision - records.HISTORY_COUNT,
             Urgency.JOB,
         )
-        guards, writes = records.build_acceptance(head, after, entry, outdated)
+        guards, writes = records.build_acceptance(
+            head, after, accepted, outdated
+        )
         if any(_is_too_large(write.body) for write in writes):
             return NoteRefused(
                 Reason.BODY_TOO_LARGE,
--- a/src/marjoramwharf/contracts/_sampled.py
+++ b/src/marjoramwharf/contracts/_sampled.py
@@ -47,7 +47,7 @@
 
 
 class ServiceIndex:
-    """Indexes the workers with a free permit by service."""
+    """For each service, the workers with a free permit that run it."""
 
     def __init__(
         self,
--- a/src/marjoramwharf/contracts/allocator.py
+++ b/src/marjoramwharf/contracts/allocator.py
@@ -160,7 +160,7 @@
         grant_ids: Sequence[GrantId],
         now_s: float,
     ) -> tuple[list[Grant], list[GrantId]]:
-        """Renew grants; return the renewed grants and the refused ids."""
+        """Renew grants; return the renewed ones and the ids of the others."""
         renewed: list[Grant] = []
         refused: list[GrantId] = []
         for grant_id in grant_ids:
@@ -225,7 +225,7 @@
             self.on_released(worker_id, attempt)
 
     def forget_ended(self) -> None:
-        """Drop the requests of attempts that no ledger holds any longer."""
+        """Drop the requests of attempts that have no reservation any longer."""
         for attempt in tuple(self._placed):
             if self._ledger_holding(attempt) is None:
                 self._placed.pop(attempt)
--- a/src/marjoramwharf/contracts/borrowing.py
+++ b/src/marjoramwharf/contracts/borrowing.py
@@ -291,8 +291,9 @@
             ],
         )
         if await call_peer(self._peers().get(lender), request) is None:
-            # A repeat of a return that had arrived would free slots twice.
-            self._permit_pool.mark_return_failed(
+            # The return may have arrived; a repeat would free the slots twice.
+            # The grants expire instead.
+            self._permit_pool.stop_renewing(
                 [share.grant_id for share in shares]
             )
 
--- a/src/marjoramwharf/contracts/capacity_handlers.py
+++ b/src/marjoramwharf/contracts/capacity_handlers.py
@@ -40,7 +40,7 @@
 
 
 def free_millicores(allocator: CapacityAllocator) -> int:
-    """Return the free processors of the owned workers that are usable."""
+    """Return the free CPU of the fenced workers that are not leaving."""
     return sum(
         max(0, ledger.reservations.free.cpu_millicores)
         for ledger in allocator.ledgers.values()
--- a/src/marjoramwharf/contracts/claims.py
+++ b/src/marjoramwharf/contracts/claims.py
@@ -98,9 +98,10 @@
         call_id: CallId,
         incarnation: Incarnation,
     ) -> ClaimOutcome:
-        """Move a claim to a new attempt; its former call is proved not to run.
+        """Move a claim to a new call.
 
-        Of several callers with the same claim only one succeeds.
+        The caller must have proof that the former call never runs. Of several
+        callers with the same claim only one succeeds.
         """
         record = ClaimRecord(
             claim.record.digest,
@@ -115,7 +116,7 @@
         )
 
     async def withdraw(self, claim: Claim) -> bool:
-        """Delete a claim whose call is proved not to run.
+        """Delete a claim; the caller must have proof that its call never runs.
 
         ``False`` means that it was taken over, so its request may still run.
         Raises the ``Failure`` of the store.
--- a/src/marjoramwharf/contracts/configuration.py
+++ b/src/marjoramwharf/contracts/configuration.py
@@ -25,7 +25,7 @@
 
 
 class Limits(Struct, frozen=True):
-    """Queue limits: in total, per team and per caller."""
+    """Largest numbers of queued requests: in total, per team, per caller."""
 
     queue_count: int = 512
     team_count: int = 256
@@ -114,6 +114,7 @@
     changes: Any,
     problems: list[Problem],
 ) -> tuple[Any, ...]:
+    """Apply the changes of a section; add a problem for each wrong one."""
     items = {item.identity: item for item in in_force}
     named: set[str] = set()
     for kind in ('withdrawn', 'changed', 'added'):
--- a/src/marjoramwharf/contracts/heartbeats.py
+++ b/src/marjoramwharf/contracts/heartbeats.py
@@ -27,6 +27,7 @@
 class Heartbeats:
     """Fences each owned worker, then extends its lease at intervals.
 
+    A worker is fenced when it has acknowledged the epoch of its owner.
     ``on_lease`` is called with each reply under the ledger's epoch,
     ``on_superseded`` with each worker that has acknowledged a higher epoch,
     and ``on_leaving`` once with the ledger of a worker that starts to leave.
--- a/src/marjoramwharf/contracts/ledger.py
+++ b/src/marjoramwharf/contracts/ledger.py
@@ -21,8 +21,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoCapacity:
-    """No grant can be lent or renewed at present."""
+class NoGrant:
+    """No grant was lent or renewed."""
 
 
 @dataclass(slots=True)
@@ -47,7 +47,8 @@
 class WorkerLedger:
     """Tracks the slots, sessions, grants and reservations of one worker.
 
-    Nothing is lent before the worker has acknowledged the epoch.
+    Nothing is lent before the worker is fenced: it has acknowledged the epoch.
+    A session is the set of connections that one borrower may open to it.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         self._grant_numbers = itertools.count(1)
         self._grants: dict[GrantId, _LentGrant] = {}
         self._sessions: dict[EntryId, _Session] = {}
-        self._orphaned_calls_count = 0
+        self._calls_without_grant_count = 0
 
     @property
     def free_slots_count(self) -> int:
@@ -80,7 +81,7 @@
             return 0
         lent_count = sum(held.slots_count for held in self._grants.values())
         total = self.worker.capacity.slots_count
-        return max(0, total - lent_count - self._orphaned_calls_count)
+        return max(0, total - lent_count - self._calls_without_grant_count)
 
     @property
     def lent_grants_count(self) -> int:
@@ -121,7 +122,7 @@
         slots_count: int,
         *,
         incarnation: Incarnation,
-    ) -> Grant | NoCapacity:
+    ) -> Grant | NoGrant:
         """Lend up to ``slots_count`` slots; open a session if there is none.
 
         A restarted borrower gets nothing until the grants and connections of
@@ -129,7 +130,7 @@
         """
         free = min(slots_count, self.free_slots_count)
         if free <= 0 or not self._open_session(borrower, incarnation):
-            return NoCapacity()
+            return NoGrant()
         # One connection of a session is reserved for cancellations and
         # heartbeats; each slot needs one of the others.
         usable = (
@@ -137,7 +138,7 @@
         )
         slots = min(free, usable)
         if slots <= 0:
-            return NoCapacity()
+            return NoGrant()
         number = next(self._grant_numbers)
         worker_id = self.worker.worker_id
         grant_id = GrantId(f'{self.epoch}-{number}{_ID_SEPARATOR}{worker_id}')
@@ -148,13 +149,13 @@
         self,
         borrower: EntryId,
         grant_id: GrantId,
-    ) -> Grant | NoCapacity:
+    ) -> Grant | NoGrant:
         """Extend a grant unless its revocation has started."""
         held = self._grants.get(grant_id)
         if held is None or held.borrower != borrower:
-            return NoCapacity()
+            return NoGrant()
         if held.revoking or self.leaving:
-            return NoCapacity()
+            return NoGrant()
         held.expires_at_s = self._expiry_s
         return self._make_grant(grant_id)
 
@@ -210,7 +211,7 @@
             held = self._grants.get(grant_id)
             if held is not None and held.revoking:
                 self._grants.pop(grant_id)
-        self._count_orphaned_calls(running)
+        self._record_running_calls(running)
 
     def record_report(self, reply: LeaseReply, sent_at_s: float) -> None:
         """Record the calls, tasks and connections of a heartbeat reply.
@@ -222,7 +223,7 @@
         # Counted from the worker's last report, so that no grant is valid for
         # longer than its lifetime after the worker may have begun to leave.
         self._expiry_s = sent_at_s + self._grant_ttl_s
-        self._count_orphaned_calls(reply.running)
+        self._record_running_calls(reply.running)
         self.reservations.record_reports(reply.tasks, sent_at_s)
         counts = dict(reply.connections)
         borrowers = self.grants_by_borrower()
@@ -237,8 +238,8 @@
             if held.borrower == borrower
         )
 
-    def _count_orphaned_calls(self, running: Iterable[RunningCall]) -> None:
-        self._orphaned_calls_count = sum(
+    def _record_running_calls(self, running: Iterable[RunningCall]) -> None:
+        self._calls_without_grant_count = sum(
             call.grant_id not in self._grants for call in running
         )
 
--- a/src/marjoramwharf/contracts/lending.py
+++ b/src/marjoramwharf/contracts/lending.py
@@ -178,7 +178,7 @@
             self._notify_borrowers(ledger)
 
     def refused(self, permit: Permit, refusal: WorkerRefusal) -> None:
-        """Put back a refused permit and apply the reason of the refusal.
+        """Put back the permit of a refused call; drop what can't be used.
 
         The worker's grants are dropped if it is leaving, the permit's grant
         if its epoch is stale or it was revoked.
@@ -239,7 +239,7 @@
         return False
 
     def borrow_ahead(self, service: ServiceId, now_s: float) -> None:
-        """Borrow ahead of demand while few free permits are left."""
+        """Borrow before requests need it, if fewer than 2 permits are free."""
         if self.permit_pool.free_count >= _MIN_FREE_PERMITS_COUNT:
             return
         self.borrower.borrow_locally(service, (), now_s)
@@ -274,19 +274,20 @@
         )
 
     def _start_refill(self, service: ServiceId) -> trio.Event | None:
-        """Borrow in the background; one refill at a time for each service."""
+        """Start a refill if the service has none; return its end event."""
         if self._nursery is None:
             return None
         refill_done = self._refills.get(service)
         if refill_done is None:
             refill_done = trio.Event()
             self._refills[service] = refill_done
-            self._nursery.start_soon(self._refill_once, service, refill_done)
+            self._nursery.start_soon(self._borrow_once, service, refill_done)
         return refill_done
 
-    async def _refill_once(
+    async def _borrow_once(
         self, service: ServiceId, refill_done: trio.Event
     ) -> None:
+        """Borrow once; the service gets no other refill during the backoff."""
         self.borrower.borrow_locally(service, (), self._now())
         has_borrowed = await self.borrower.borrow(service)
         refill_done.set()
--- a/src/marjoramwharf/contracts/note_api.py
+++ b/src/marjoramwharf/contracts/note_api.py
@@ -72,7 +72,7 @@
         return _unauthorized()
 
     async def current() -> Response:  # noqa: WPS430
-        return json_response(HTTPStatus.OK, current_body(registry))
+        return json_response(HTTPStatus.OK, current_response_body(registry))
 
     async def history() -> Response:  # noqa: WPS430
         return await _history(registry)
@@ -86,8 +86,8 @@
     return blueprint
 
 
-def current_body(registry: NoteRegistry) -> dict[str, Any]:
-    """Return the configuration in force on this entry, and since when."""
+def current_response_body(registry: NoteRegistry) -> dict[str, Any]:
+    """Return the JSON body of ``GET /v1/notes/current``."""
     active = registry.current
     return {
         'entry': registry.entry,
@@ -153,10 +153,10 @@
             answer.message,
             details={'problems': answer.problems},
         )
-    return _unsettled_response(answer)
+    return _not_accepted_response(answer)
 
 
-def _unsettled_response(answer: NotRun | Unknown) -> Response:
+def _not_accepted_response(answer: NotRun | Unknown) -> Response:
     if isinstance(answer, Unknown):
         return error_response(
             HTTPStatus.ACCEPTED,
--- a/src/marjoramwharf/contracts/note_registry.py
+++ b/src/marjoramwharf/contracts/note_registry.py
@@ -58,7 +58,8 @@
     """Accepts release notes and tracks the configuration of one entry.
 
     ``now_ms`` returns Unix time, ``jitter`` a number from 0 to 1. ``run``
-    follows the store until it is cancelled.
+    follows the store until it is cancelled. ``is_synchronised`` becomes true
+    with the first head that is read since the start.
     """
 
     def __init__(
--- a/src/marjoramwharf/contracts/ownership.py
+++ b/src/marjoramwharf/contracts/ownership.py
@@ -206,7 +206,7 @@
         return True
 
     def misplaced(self) -> list[ShardId]:
-        """Return the owned shards that another live entry should own.
+        """Return the owned shards whose preferred entry is another live one.
 
         Handing over a few at a time balances the shards after an entry starts.
         """
--- a/src/marjoramwharf/contracts/permit_pool.py
+++ b/src/marjoramwharf/contracts/permit_pool.py
@@ -27,6 +27,8 @@
 
 @dataclass(slots=True)
 class _HeldGrant:
+    """A grant with its free permits, and those in use by serial number."""
+
     grant: Grant
     free_count: int
     used_at_s: float
@@ -146,7 +148,7 @@
         self._update_index(permit.worker_id)
 
     def mark_in_doubt(self, permit: Permit) -> None:
-        """Hold a permit until the worker has settled its call."""
+        """Keep a permit in use until the worker has settled its call."""
         held = self._grants.get(permit.grant_id)
         if held is not None and permit.serial in held.in_doubt_by_serial:
             held.in_doubt_by_serial[permit.serial] = True
@@ -223,7 +225,7 @@
                 shares.append(self._withdraw_permits(held, count))
         return shares
 
-    def mark_return_failed(self, grant_ids: Iterable[GrantId]) -> None:
+    def stop_renewing(self, grant_ids: Iterable[GrantId]) -> None:
         """Stop renewing grants after a return whose answer was lost.
 
         The owner may count more slots as lent than this pool holds. Both
--- a/src/marjoramwharf/contracts/release_note.py
+++ b/src/marjoramwharf/contracts/release_note.py
@@ -170,7 +170,7 @@
 
 
 class LimitChanges(_NoteStruct, frozen=True):
-    """New queue limits: in total, per team and per caller."""
+    """New limits of queued requests: in total, per team and per caller."""
 
     queue_count: QueueCount | None = None
     team_count: QueueCount | None = None
--- a/src/marjoramwharf/contracts/reservations.py
+++ b/src/marjoramwharf/contracts/reservations.py
@@ -24,9 +24,11 @@
 
 @dataclass(slots=True)
 class _Reservation:
+    """The demand of an attempt and when it was first reported running."""
+
     demand: Demand
     reserved_at_s: float
-    seen_at_s: float | None = None
+    running_since_s: float | None = None
 
 
 class Reservations:
@@ -39,7 +41,7 @@
 
     @property
     def free(self) -> Demand:
-        """Unreserved capacity; negative if adopted attempts exceed it."""
+        """Unreserved capacity; negative if reported attempts exceed it."""
         demands = [held.demand for held in self._by_attempt.values()]
         return Demand(
             cpu_millicores=self._capacity.cpu_millicores
@@ -88,17 +90,17 @@
         """Tell whether an attempt has a reservation here."""
         return (task_id, fence) in self._by_attempt
 
-    def seen_at_s(self, task_id: TaskId, fence: Fence) -> float | None:
+    def running_since_s(self, task_id: TaskId, fence: Fence) -> float | None:
         """Return when an attempt was first reported running, if it was."""
         held = self._by_attempt.get((task_id, fence))
-        return None if held is None else held.seen_at_s
+        return None if held is None else held.running_since_s
 
     def release(self, task_id: TaskId, fence: Fence) -> None:
         """Release a reservation after the worker has confirmed the end."""
         self._by_attempt.pop((task_id, fence), None)
 
     def record_reports(self, tasks: Iterable[TaskReport], now_s: float) -> None:
-        """Adopt the reported running attempts and free those that ended.
+        """Reserve for reported running attempts and free those that ended.
 
         ``tasks`` is the complete list of a worker's reply. An attempt that
         was once reported running and is no longer listed has ended.
@@ -114,7 +116,7 @@
         self._by_attempt = {
             key: held
             for key, held in self._by_attempt.items()
-            if key in running or held.seen_at_s is None
+            if key in running or held.running_since_s is None
         }
 
     def never_reported(
@@ -128,7 +130,7 @@
         return [
             key
             for key, held in self._by_attempt.items()
-            if held.seen_at_s is None
+            if held.running_since_s is None
             and now_s - held.reserved_at_s >= older_than_s
         ]
 
@@ -136,5 +138,5 @@
         held = self._by_attempt.get(key)
         if held is None:
             self._by_attempt[key] = _Reservation(demand, now_s, now_s)
-        elif held.seen_at_s is None:
-            held.seen_at_s = now_s
+        elif held.running_since_s is None:
+            held.running_since_s = now_s
--- a/src/marjoramwharf/programs/_batch_path.py
+++ b/src/marjoramwharf/programs/_batch_path.py
@@ -286,7 +286,7 @@
             for worker_id, due_at_s in tuple(self._gone_at_s.items()):
                 if due_at_s <= now_s:
                     self._gone_at_s.pop(worker_id)
-                    self.runner.on_instance_gone(worker_id)
+                    self.runner.on_worker_gone(worker_id)
             if self._must_reconsider:
                 self._must_reconsider = not await self._reconsider()
             await self._confirm_unseen(now_s)
--- a/src/marjoramwharf/programs/_class_usage.py
+++ b/src/marjoramwharf/programs/_class_usage.py
@@ -48,7 +48,7 @@
 
     def correct(self, task_class: str, declared: Demand) -> Demand:
         """Return the size to reserve for a task."""
-        return self.estimates.correct(
+        return self.estimates.correct_size(
             task_class,
             declared,
             now_s=self._clock(),
@@ -94,8 +94,10 @@
         declared: dict[str, Demand] = {}
         for attempt in ledger.reservations.demands():
             placement = self._allocator.request_of(attempt)
-            seen_at_s = ledger.reservations.seen_at_s(*attempt)
-            is_usable = seen_at_s is not None and seen_at_s <= taken_at_s
+            running_since_s = ledger.reservations.running_since_s(*attempt)
+            is_usable = (
+                running_since_s is not None and running_since_s <= taken_at_s
+            )
             if placement is None or not is_usable:
                 return None
             size = placement.declared or placement.demand
--- a/src/marjoramwharf/programs/_task_placement.py
+++ b/src/marjoramwharf/programs/_task_placement.py
@@ -84,7 +84,7 @@
                 return ledger
             else:
                 self.follow(ledger)
-                self._index.cordon(found, now_s + _CLOSED_S)
+                self._index.exclude(found, now_s + _CLOSED_S)
         return None
 
     def follow(self, ledger: WorkerLedger) -> None:
--- a/tests/batch/test_estimates.py
+++ b/tests/batch/test_estimates.py
@@ -20,11 +20,11 @@
         """Guards against a correction based on too few observations."""
         estimates = SizeEstimator()
         for count in range(40):
-            size = estimates.correct('quote', _DECLARED, now_s=0)
+            size = estimates.correct_size('quote', _DECLARED, now_s=0)
             if count < 20:
                 self.assertEqual(size, _DECLARED)
             estimates.observe('quote', _DECLARED, Demand(250, 500), now_s=0)
-        corrected = estimates.correct('quote', _DECLARED, now_s=0)
+        corrected = estimates.correct_size('quote', _DECLARED, now_s=0)
         self.assertLess(corrected.cpu_millicores, 300)
         self.assertLess(corrected.memory_mb, 600)
 
@@ -42,7 +42,7 @@
         estimates = SizeEstimator()
         for size in seen:
             estimates.observe('press', _DECLARED, Demand(size, size), now_s=0)
-        corrected = estimates.correct(
+        corrected = estimates.correct_size(
             'press',
             _DECLARED,
             used=Demand(used, used),
--- a/tests/batch/test_placement.py
+++ b/tests/batch/test_placement.py
@@ -128,7 +128,7 @@
     def test_cordoned_and_avoided_workers_get_nothing(self) -> None:
         """Guards against tasks on workers that are leaving or failing."""
         for number in range(7):
-            self.index.cordon(WorkerId(f'w-{number}'), until_s=10)
+            self.index.exclude(WorkerId(f'w-{number}'), until_s=10)
         request = _request(0, Demand(1, 1), avoid_workers=('w-7',))
         self.assertIs(self.index.place(request, 5), NoFit.FULL)
         self.assertNotIsInstance(self.index.place(request, 10), NoFit)
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -59,7 +59,7 @@
             status = await shard.wait(job_id, 600)
             self.assertIs(status.state, JobState.RUNNING)
             self.cluster.workers[held].attempts.clear()
-            runner.on_instance_gone(held)
+            runner.on_worker_gone(held)
             status = await shard.wait(job_id, 600)
             self.assertIs(status.state, JobState.DONE)
 
@@ -107,7 +107,7 @@
             self.cluster.capacity.worker_ids = [other]
             stray = self.cluster.workers[held].attempts
             self.cluster.workers[held].attempts = {}
-            runner.on_instance_gone(held)
+            runner.on_worker_gone(held)
             await trio.sleep(3)
             self.assertEqual(runner.held_workers(), {other})
             self.cluster.workers[held].is_reachable = True
--- a/tests/contracts/lending_model.py
+++ b/tests/contracts/lending_model.py
@@ -283,7 +283,7 @@
             self.worker.connections[name] = 0
         for share in shares:
             if lost:
-                pool.mark_return_failed((share.grant_id,))
+                pool.stop_renewing((share.grant_id,))
                 continue
             for owner in self.owners:
                 owner.ledger.give_back(name, share.grant_id, share.slots_count)
--- a/tests/contracts/test_ledger.py
+++ b/tests/contracts/test_ledger.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from marjoramwharf.contracts.ledger import NoCapacity, WorkerLedger
+from marjoramwharf.contracts.ledger import NoGrant, WorkerLedger
 from marjoramwharf.contracts.permits import Grant
 from marjoramwharf.ids import EntryId, Epoch, GrantId, Incarnation
 from marjoramwharf.machines.calls import LeaseReply
@@ -34,14 +34,14 @@
         self.assertIsInstance(self.ledger.renew(_E1, self.grant_id), Grant)
         self.assertEqual(self.ledger.start_revocations(3), [self.grant_id])
         outcome = self.ledger.renew(_E1, self.grant_id)
-        self.assertIsInstance(outcome, NoCapacity)
+        self.assertIsInstance(outcome, NoGrant)
 
     def test_only_the_borrower_changes_its_grant(self) -> None:
         """Guards against a peer that returns or renews another's grant."""
         self.ledger.give_back(_E2, self.grant_id, 2)
         self.assertEqual(self.ledger.free_slots_count, 0)
         outcome = self.ledger.renew(_E2, self.grant_id)
-        self.assertIsInstance(outcome, NoCapacity)
+        self.assertIsInstance(outcome, NoGrant)
 
     def test_return_frees_at_once_and_ids_are_not_reused(self) -> None:
         """Guards against two grants with the same id."""
--- a/tests/contracts/test_lending_model.py
+++ b/tests/contracts/test_lending_model.py
@@ -36,8 +36,8 @@
 class _ForgetsRunningCalls(WorkerLedger):
     """Frees all slots of a revoked grant, though some calls still run."""
 
-    def _count_orphaned_calls(self, running: Iterable[RunningCall]) -> None:
-        super()._count_orphaned_calls(())
+    def _record_running_calls(self, running: Iterable[RunningCall]) -> None:
+        super()._record_running_calls(())
 
 
 class _LendsBeforeFence(WorkerLedger):
--- a/tests/contracts/test_permit_pool.py
+++ b/tests/contracts/test_permit_pool.py
@@ -17,7 +17,7 @@
     return Grant(GrantId(f'1-{number}@{worker}'), worker, Epoch(1), slots, 5, 3)
 
 
-class WalletTests(unittest.TestCase):
+class PermitPoolTests(unittest.TestCase):
     """Guards against permits that outlive their grant or are freed twice."""
 
     def setUp(self) -> None:
@@ -63,7 +63,7 @@
     def test_grant_of_a_failed_return_is_not_renewed(self) -> None:
         """Guards against slots that only the owner counts as lent."""
         permit = self._take_all(0)[0]
-        self.pool.mark_return_failed([permit.grant_id])
+        self.pool.stop_renewing([permit.grant_id])
         self.assertEqual(self.pool.renewable_grants(), [])
 
     def test_choice_samples_few_workers(self) -> None:
