--- a/src/marjoramwharf/batch/decisions.py
+++ b/src/marjoramwharf/batch/decisions.py
@@ -25,10 +25,7 @@
 
 
 def submit_job(
-    state: ev.ShardState,
-    job_id: JobId,
-    spec: JobSpec,
-    now_ms: int,
+    state: ev.ShardState, job_id: JobId, spec: JobSpec, now_ms: int
 ) -> list[ev.Event]:
     """Accept a new job; raise ``KeyReused`` if its key has another spec."""
     existing = state.jobs.get(job_id)
@@ -37,13 +34,12 @@
     if existing.spec == spec:
         return []
     raise KeyReused(
-        message='the idempotency key belongs to a job with another spec',
+        message='the idempotency key belongs to a job with another spec'
     )
 
 
 def cancel_jobs(
-    state: ev.ShardState,
-    job_ids: Sequence[JobId],
+    state: ev.ShardState, job_ids: Sequence[JobId]
 ) -> list[ev.Event]:
     """Cancel those jobs that exist and are not in a final state."""
     return [
@@ -68,9 +64,7 @@
 
 
 def end_attempt(
-    state: ev.ShardState,
-    report: TaskReport,
-    freed: list[Placement],
+    state: ev.ShardState, report: TaskReport, freed: list[Placement]
 ) -> list[ev.Event]:
     """End an attempt, if not done yet; append its placement to ``freed``.
 
@@ -88,9 +82,7 @@
 
 
 def end_attempts_on_worker(
-    state: ev.ShardState,
-    worker_id: WorkerId,
-    freed: list[Placement],
+    state: ev.ShardState, worker_id: WorkerId, freed: list[Placement]
 ) -> list[ev.Event]:
     """End the attempts on a worker that no longer exists.
 
@@ -122,8 +114,7 @@
 
 
 def forget_jobs(
-    state: ev.ShardState,
-    job_ids: Sequence[JobId],
+    state: ev.ShardState, job_ids: Sequence[JobId]
 ) -> list[ev.Event]:
     """Remove those jobs that are in a final state."""
     return [
@@ -134,9 +125,7 @@
 
 
 def _decide_end(
-    state: ev.ShardState,
-    task: Task,
-    report: TaskReport,
+    state: ev.ShardState, task: Task, report: TaskReport
 ) -> ev.Event | None:
     """Return the event that ends an attempt, ``None`` if it still runs."""
     if report.phase in {TaskPhase.RUNNING, TaskPhase.THROTTLED}:
@@ -157,10 +146,7 @@
     if report.phase is TaskPhase.STOPPED:
         checkpoint = max(checkpoint, report.checkpoint)
     return ev.TaskReturned(
-        task.task_id,
-        task.attempt,
-        checkpoint,
-        is_failure=has_failed,
+        task.task_id, task.attempt, checkpoint, is_failure=has_failed
     )
 
 
--- a/src/marjoramwharf/batch/estimates.py
+++ b/src/marjoramwharf/batch/estimates.py
@@ -88,21 +88,14 @@
     _memory: dict[str, DecayingHistogram] = field(default_factory=dict)
 
     def observe(
-        self,
-        task_class: str,
-        declared: Demand,
-        used: Demand,
-        *,
-        now_s: float,
+        self, task_class: str, declared: Demand, used: Demand, *, now_s: float
     ) -> None:
         """Record the usage that a worker reports for a task of a class."""
         self._histogram_of(self._cpu, task_class).observe(
-            used.cpu_millicores / declared.cpu_millicores,
-            now_s=now_s,
+            used.cpu_millicores / declared.cpu_millicores, now_s=now_s
         )
         self._histogram_of(self._memory, task_class).observe(
-            used.memory_mb / declared.memory_mb,
-            now_s=now_s,
+            used.memory_mb / declared.memory_mb, now_s=now_s
         )
 
     def correct_size(
@@ -128,12 +121,10 @@
                 least.cpu_millicores,
             ),
             memory_mb=max(
-                math.ceil(declared.memory_mb * memory_ratio),
-                least.memory_mb,
+                math.ceil(declared.memory_mb * memory_ratio), least.memory_mb
             ),
             accelerators_count=max(
-                declared.accelerators_count,
-                least.accelerators_count,
+                declared.accelerators_count, least.accelerators_count
             ),
         )
 
@@ -152,11 +143,8 @@
         return estimate
 
     def _histogram_of(
-        self,
-        histograms: dict[str, DecayingHistogram],
-        task_class: str,
+        self, histograms: dict[str, DecayingHistogram], task_class: str
     ) -> DecayingHistogram:
         return histograms.setdefault(
-            task_class,
-            DecayingHistogram(self.half_life_s),
+            task_class, DecayingHistogram(self.half_life_s)
         )
--- a/src/marjoramwharf/batch/failing_workers.py
+++ b/src/marjoramwharf/batch/failing_workers.py
@@ -46,10 +46,7 @@
         self._exclusions.pop(worker_id, None)
 
     def record_failure(
-        self,
-        worker_id: WorkerId,
-        job_id: JobId,
-        now_s: float,
+        self, worker_id: WorkerId, job_id: JobId, now_s: float
     ) -> WorkerExclusion | None:
         """Count a failure and return the exclusion that it starts, if any.
 
@@ -62,13 +59,9 @@
             return None
         if worker_id in self.excluded_workers(now_s):
             return None
-        exclusion = WorkerExclusion(
-            worker_id,
-            now_s + record.next_exclusion_s,
-        )
+        exclusion = WorkerExclusion(worker_id, now_s + record.next_exclusion_s)
         record.next_exclusion_s = min(
-            record.next_exclusion_s * 2,
-            _MAX_EXCLUSION_S,
+            record.next_exclusion_s * 2, _MAX_EXCLUSION_S
         )
         self._exclusions[worker_id] = exclusion
         return exclusion
--- a/src/marjoramwharf/batch/outcomes.py
+++ b/src/marjoramwharf/batch/outcomes.py
@@ -23,7 +23,7 @@
 
 
 class OutcomeCommitter:
-    """Retries commits of ends and releases of reservations until they work."""
+    """Commits ends and releases reservations, and retries until both work."""
 
     def __init__(
         self,
--- a/src/marjoramwharf/contracts/lending.py
+++ b/src/marjoramwharf/contracts/lending.py
@@ -8,11 +8,7 @@
 import trio
 
 from marjoramwharf.contracts.allocator import CapacityAllocator
-from marjoramwharf.contracts.borrowing import (
-    Borrower,
-    PeerCaller,
-    call_peer,
-)
+from marjoramwharf.contracts.borrowing import Borrower, PeerCaller, call_peer
 from marjoramwharf.contracts.capacity_handlers import (
     CapacityHandlers,
     summary_message,
@@ -124,17 +120,11 @@
         self._refill_backoff_s = _REFILL_BACKOFF_S
         self.on_refilled: Callable[[ServiceId], None] = _ignore_refill
         self.borrower = Borrower(
-            identity,
-            permit_pool,
-            allocator,
-            peers=peers,
-            now=now,
+            identity, permit_pool, allocator, peers=peers, now=now
         )
 
     async def run(
-        self,
-        *,
-        task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
+        self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
         """Send heartbeats and summaries and renew grants until cancelled."""
         async with trio.open_nursery() as nursery:
@@ -193,10 +183,7 @@
             self.borrower.drop_grants([permit.grant_id])
 
     async def acquire(
-        self,
-        service: ServiceId,
-        excluded: Collection[WorkerId],
-        now_s: float,
+        self, service: ServiceId, excluded: Collection[WorkerId], now_s: float
     ) -> Permit | None:
         """Take a permit of a worker that runs the service.
 
@@ -221,10 +208,7 @@
         return self._take_permit(service, excluded, self._now())
 
     def refill(
-        self,
-        service: ServiceId,
-        excluded: Collection[WorkerId],
-        now_s: float,
+        self, service: ServiceId, excluded: Collection[WorkerId], now_s: float
     ) -> bool:
         """Refill the permit pool from the own ledgers, or start to borrow.
 
@@ -255,22 +239,14 @@
     def handlers(self) -> dict[type, Handler]:
         """Return the handlers of the capacity messages for the peer server."""
         return CapacityHandlers(
-            self.allocator,
-            self.borrower,
-            now=self._now,
+            self.allocator, self.borrower, now=self._now
         ).handlers()
 
     def _take_permit(
-        self,
-        service: ServiceId,
-        excluded: Collection[WorkerId],
-        now_s: float,
+        self, service: ServiceId, excluded: Collection[WorkerId], now_s: float
     ) -> Permit | None:
         return self.permit_pool.take_random(
-            service,
-            now_s,
-            rng=self._rng,
-            excluded=excluded,
+            service, now_s, rng=self._rng, excluded=excluded
         )
 
     def _start_refill(self, service: ServiceId) -> trio.Event | None:
@@ -305,7 +281,7 @@
         while True:
             due_at = trio.current_time() + self._settings.heartbeat_ms / 1000
             await self.borrower.return_idle(
-                idle_after_s=self._settings.grant_ttl_ms / 1000,
+                idle_after_s=self._settings.grant_ttl_ms / 1000
             )
             await self.borrower.renew()
             await trio.sleep_until(due_at)
@@ -323,7 +299,7 @@
         while True:
             due_at = trio.current_time() + self._settings.heartbeat_ms / 1000
             await self._broadcast(
-                summary_message(self._identity, self.allocator),
+                summary_message(self._identity, self.allocator)
             )
             await trio.sleep_until(due_at)
 
@@ -333,10 +309,7 @@
         for entry_id, grant_ids in ledger.grants_by_borrower().items():
             peer = peers.get(entry_id)
             if peer is not None and self._nursery is not None:
-                revoke = ttypes.Revoke(
-                    grant_ids=grant_ids,
-                    worker_leaving=True,
-                )
+                revoke = ttypes.Revoke(grant_ids=grant_ids, worker_leaving=True)
                 self._nursery.start_soon(call_peer, peer, revoke)
 
     async def _broadcast(self, message: Message) -> None:
