--- a/src/marjoramwharf/batch/estimates.py
+++ b/src/marjoramwharf/batch/estimates.py
@@ -66,6 +66,7 @@
         return 1
 
     def _decay(self, now_s: float) -> None:
+        """Reduce the weights by the time since they were last reduced."""
         elapsed_s = now_s - self._decayed_at_s
         # Decaying at most ten times per half-life keeps observations cheap.
         if elapsed_s * 10 < self.half_life_s:
--- a/src/marjoramwharf/batch/events.py
+++ b/src/marjoramwharf/batch/events.py
@@ -349,6 +349,7 @@
 
 
 def _put_transition(undo: UndoLog, task: Task, changed: Task) -> None:
+    """Store a changed task; refuse a transition that is not allowed."""
     before, after = task.state.value, changed.state.value
     if not is_transition_allowed(task.state, changed.state):
         raise JournalDamaged(
--- a/src/marjoramwharf/batch/journal.py
+++ b/src/marjoramwharf/batch/journal.py
@@ -346,6 +346,7 @@
 
 
 def _timeout_failure(pending: _PendingProposal) -> Failure:
+    """Return the failure of a proposal not settled before the timeout."""
     if pending.is_taken:
         return StoreAnswerLost(
             message='the outcome of the write is not known yet',
--- a/src/marjoramwharf/batch/runner.py
+++ b/src/marjoramwharf/batch/runner.py
@@ -213,6 +213,7 @@
         return frozenset(reported)
 
     def _spawn_calls(self, nursery: trio.Nursery, shard: JobShard) -> None:
+        """Stop the stopping tasks and start ready ones, in the background."""
         now_s = trio.current_time()
         for stopping_id in tuple(shard.state.stopping_tasks):
             if self._can_call(stopping_id, now_s):
@@ -223,6 +224,7 @@
             nursery.start_soon(self._start, shard, ready)
 
     def _startable_tasks(self, shard: JobShard, now_s: float) -> Iterator[Task]:
+        """Yield ready tasks that are not paused, within the limits."""
         scanned = islice(
             ready_tasks(shard.state, shard.policy),
             self._limits.max_scanned_tasks_count,
--- a/src/marjoramwharf/contracts/configuration.py
+++ b/src/marjoramwharf/contracts/configuration.py
@@ -142,6 +142,7 @@
 
 
 def _find_fault(key: str, is_in_force: bool, is_named: bool, kind: str) -> str:
+    """Return what is wrong with a declared key, or an empty string."""
     if is_named:
         return f'{key!r} is declared twice in this note'
     if kind in {'added', 'admitted'}:
--- a/src/marjoramwharf/contracts/release_note.py
+++ b/src/marjoramwharf/contracts/release_note.py
@@ -318,6 +318,7 @@
     paths: frozenset[FieldPath],
     covering: frozenset[FieldPath],
 ) -> Iterator[FieldPath]:
+    """Yield the paths that are in ``covering`` or have a prefix there."""
     for path in paths:
         prefixes = (path[:length] for length in range(1, len(path) + 1))
         if any(prefix in covering for prefix in prefixes):
@@ -325,6 +326,7 @@
 
 
 def _describe_error(origin: str, text: str, message: str) -> str:
+    """Return a parser's message with the file, line and field added."""
     syntax = _SYNTAX_LINE.search(message)
     if syntax is not None:
         return f'{origin}:{syntax.group(1)}: {message}'
