--- a/src/marjoramwharf/contracts/_note_acceptance.py
+++ b/src/marjoramwharf/contracts/_note_acceptance.py
@@ -125,7 +125,7 @@
         based_on: int,
         configuration: Configuration,
     ) -> Answer | None:
-        """Return why a note can't follow those since its base, if it can't."""
+        """Compare a note with those since its base; ``None`` if it may follow."""
         newest = configuration.revision
         if based_on > newest:
             return _refuse_base(f'revision {based_on} does not exist')
--- a/src/marjoramwharf/contracts/lending.py
+++ b/src/marjoramwharf/contracts/lending.py
@@ -223,7 +223,7 @@
         return False
 
     def borrow_ahead(self, service: ServiceId, now_s: float) -> None:
-        """Borrow before requests need it, if fewer than 2 permits are free."""
+        """Borrow before requests need it, if too few permits are free."""
         if self.permit_pool.free_count >= _MIN_FREE_PERMITS_COUNT:
             return
         self.borrower.borrow_locally(service, (), now_s)
