--- a/src/marjoramwharf/contracts/_note_acceptance.py
+++ b/src/marjoramwharf/contracts/_note_acceptance.py
@@ -125,7 +125,7 @@
         based_on: int,
         configuration: Configuration,
     ) -> Answer | None:
-        """Compare a note with those since its base; ``None`` if it may follow."""
+        """Compare a note with those since its base; ``None`` if it fits."""
         newest = configuration.revision
         if based_on > newest:
             return _refuse_base(f'revision {based_on} does not exist')
