--- a/src/marjoramwharf/batch/decisions.py
+++ b/src/marjoramwharf/batch/decisions.py
@@ -1,7 +1,7 @@
 """Decisions of a job shard: functions from its state to new events.
 
-The journal calls them when it assembles a log entry. A decision that changes
-nothing returns no events.
+The journal calls them when it assembles a log entry, and applies the events
+that they return. A decision that changes nothing returns none.
 """
 
 from __future__ import annotations
@@ -25,25 +25,21 @@
 
 
 def submit_job(
-    state: ev.ShardState,
-    job_id: JobId,
-    spec: JobSpec,
-    now_ms: int,
+    state: ev.ShardState, job_id: JobId, spec: JobSpec, now_ms: int
 ) -> list[ev.Event]:
-    """Accept a job; raise ``KeyReused`` if its key belongs to another job."""
+    """Accept a new job; raise ``KeyReused`` if its key has another spec."""
     existing = state.jobs.get(job_id)
     if existing is None:
         return [ev.JobSubmitted(job_id, spec, now_ms)]
     if existing.spec == spec:
         return []
     raise KeyReused(
-        message='the idempotency key belongs to a job with another spec',
+        message='the idempotency key belongs to a job with another spec'
     )
 
 
 def cancel_jobs(
-    state: ev.ShardState,
-    job_ids: Sequence[JobId],
+    state: ev.ShardState, job_ids: Sequence[JobId]
 ) -> list[ev.Event]:
     """Cancel those jobs that exist and are not in a final state."""
     return [
@@ -60,7 +56,7 @@
     placement: Placement,
     attempt: int,
 ) -> list[ev.Event]:
-    """Start a task, unless it may no longer start."""
+    """Start an attempt of a task, unless the task may no longer start."""
     task = state.tasks.get(task_id)
     if task is None or not may_start(state, policy, task):
         return []
@@ -68,11 +64,9 @@
 
 
 def end_attempt(
-    state: ev.ShardState,
-    report: TaskReport,
-    freed: list[Placement],
+    state: ev.ShardState, report: TaskReport, freed: list[Placement]
 ) -> list[ev.Event]:
-    """End an attempt once and append its placement to ``freed``.
+    """End an attempt, if not done yet; append its placement to ``freed``.
 
     A report of another attempt, or of one that is still running, has no effect.
     """
@@ -88,11 +82,9 @@
 
 
 def end_attempts_on_worker(
-    state: ev.ShardState,
-    worker_id: WorkerId,
-    freed: list[Placement],
+    state: ev.ShardState, worker_id: WorkerId, freed: list[Placement]
 ) -> list[ev.Event]:
-    """End the attempts on a worker whose instance no longer exists.
+    """End the attempts on a worker that no longer exists.
 
     Their placements are appended to ``freed``.
     """
@@ -105,7 +97,7 @@
 
 
 def mark_impossible(state: ev.ShardState, task_id: TaskId) -> list[ev.Event]:
-    """Mark the job of a waiting task as impossible to place."""
+    """Mark a waiting task's job as impossible: no worker is large enough."""
     task = state.tasks.get(task_id)
     if task is None or task.state is not TaskState.WAITING:
         return []
@@ -113,7 +105,7 @@
 
 
 def reconsider_impossible_jobs(state: ev.ShardState) -> list[ev.Event]:
-    """Return all impossible jobs to the waiting state."""
+    """Let all impossible jobs wait again."""
     return [
         ev.JobReconsidered(job_id)
         for job_id in state.jobs
@@ -122,8 +114,7 @@
 
 
 def forget_jobs(
-    state: ev.ShardState,
-    job_ids: Sequence[JobId],
+    state: ev.ShardState, job_ids: Sequence[JobId]
 ) -> list[ev.Event]:
     """Remove those jobs that are in a final state."""
     return [
@@ -134,10 +125,9 @@
 
 
 def _decide_end(
-    state: ev.ShardState,
-    task: Task,
-    report: TaskReport,
+    state: ev.ShardState, task: Task, report: TaskReport
 ) -> ev.Event | None:
+    """Return the event that ends an attempt, ``None`` if it still runs."""
     if report.phase in {TaskPhase.RUNNING, TaskPhase.THROTTLED}:
         return None
     ended: TaskState | None = None
@@ -156,10 +146,7 @@
     if report.phase is TaskPhase.STOPPED:
         checkpoint = max(checkpoint, report.checkpoint)
     return ev.TaskReturned(
-        task.task_id,
-        task.attempt,
-        checkpoint,
-        is_failure=has_failed,
+        task.task_id, task.attempt, checkpoint, is_failure=has_failed
     )
 
 
--- a/src/marjoramwharf/batch/estimates.py
+++ b/src/marjoramwharf/batch/estimates.py
@@ -47,7 +47,7 @@
         self._weights[bucket] = self._weights.get(bucket, 0) + 1
 
     def count(self, now_s: float) -> float:
-        """Return the number of observations, weighted by their decay."""
+        """Return the sum of the decayed weights of all observations."""
         self._decay(now_s)
         return sum(self._weights.values())
 
@@ -66,6 +66,7 @@
         return 1
 
     def _decay(self, now_s: float) -> None:
+        """Reduce the weights by the time since they were last reduced."""
         elapsed_s = now_s - self._decayed_at_s
         # Decaying at most ten times per half-life keeps observations cheap.
         if elapsed_s * 10 < self.half_life_s:
@@ -88,24 +89,17 @@
     _memory: dict[str, DecayingHistogram] = field(default_factory=dict)
 
     def observe(
-        self,
-        task_class: str,
-        declared: Demand,
-        used: Demand,
-        *,
-        now_s: float,
+        self, task_class: str, declared: Demand, used: Demand, *, now_s: float
     ) -> None:
         """Record the usage that a worker reports for a task of a class."""
         self._histogram_of(self._cpu, task_class).observe(
-            used.cpu_millicores / declared.cpu_millicores,
-            now_s=now_s,
+            used.cpu_millicores / declared.cpu_millicores, now_s=now_s
         )
         self._histogram_of(self._memory, task_class).observe(
-            used.memory_mb / declared.memory_mb,
-            now_s=now_s,
+            used.memory_mb / declared.memory_mb, now_s=now_s
         )
 
-    def correct(
+    def correct_size(
         self,
         task_class: str,
         declared: Demand,
@@ -115,25 +109,23 @@
     ) -> Demand:
         """Return the size to reserve for a task.
 
-        ``used`` is the usage observed for this particular task; the result is
-        never below it. Accelerators are not shared between tasks, so their
-        declared count is not corrected.
+        The declared size is corrected by the usage of the class, but never to
+        less than ``used``, the usage that this very task had. Accelerators are
+        not shared between tasks, so their declared count is not corrected.
         """
         cpu_ratio = self._estimate_ratio(self._cpu, task_class, now_s)
         memory_ratio = self._estimate_ratio(self._memory, task_class, now_s)
-        observed = used or Demand(0, 0)
+        least = used or Demand(0, 0)
         return Demand(
             cpu_millicores=max(
                 math.ceil(declared.cpu_millicores * cpu_ratio),
-                observed.cpu_millicores,
+                least.cpu_millicores,
             ),
             memory_mb=max(
-                math.ceil(declared.memory_mb * memory_ratio),
-                observed.memory_mb,
+                math.ceil(declared.memory_mb * memory_ratio), least.memory_mb
             ),
             accelerators_count=max(
-                declared.accelerators_count,
-                observed.accelerators_count,
+                declared.accelerators_count, least.accelerators_count
             ),
         )
 
@@ -152,11 +144,8 @@
         return estimate
 
     def _histogram_of(
-        self,
-        histograms: dict[str, DecayingHistogram],
-        task_class: str,
+        self, histograms: dict[str, DecayingHistogram], task_class: str
     ) -> DecayingHistogram:
         return histograms.setdefault(
-            task_class,
-            DecayingHistogram(self.half_life_s),
+            task_class, DecayingHistogram(self.half_life_s)
         )
--- a/src/marjoramwharf/contracts/lending.py
+++ b/src/marjoramwharf/contracts/lending.py
@@ -8,11 +8,7 @@
 import trio
 
 from marjoramwharf.contracts.allocator import CapacityAllocator
-from marjoramwharf.contracts.borrowing import (
-    Borrower,
-    PeerCaller,
-    call_peer,
-)
+from marjoramwharf.contracts.borrowing import Borrower, PeerCaller, call_peer
 from marjoramwharf.contracts.capacity_handlers import (
     CapacityHandlers,
     summary_message,
@@ -124,17 +120,11 @@
         self._refill_backoff_s = _REFILL_BACKOFF_S
         self.on_refilled: Callable[[ServiceId], None] = _ignore_refill
         self.borrower = Borrower(
-            identity,
-            permit_pool,
-            allocator,
-            peers=peers,
-            now=now,
+            identity, permit_pool, allocator, peers=peers, now=now
         )
 
     async def run(
-        self,
-        *,
-        task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
+        self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
         """Send heartbeats and summaries and renew grants until cancelled."""
         async with trio.open_nursery() as nursery:
@@ -178,7 +168,7 @@
             self._notify_borrowers(ledger)
 
     def refused(self, permit: Permit, refusal: WorkerRefusal) -> None:
-        """Put back a refused permit and apply the reason of the refusal.
+        """Put back the permit of a refused call; drop what can't be used.
 
         The worker's grants are dropped if it is leaving, the permit's grant
         if its epoch is stale or it was revoked.
@@ -193,10 +183,7 @@
             self.borrower.drop_grants([permit.grant_id])
 
     async def acquire(
-        self,
-        service: ServiceId,
-        excluded: Collection[WorkerId],
-        now_s: float,
+        self, service: ServiceId, excluded: Collection[WorkerId], now_s: float
     ) -> Permit | None:
         """Take a permit of a worker that runs the service.
 
@@ -221,10 +208,7 @@
         return self._take_permit(service, excluded, self._now())
 
     def refill(
-        self,
-        service: ServiceId,
-        excluded: Collection[WorkerId],
-        now_s: float,
+        self, service: ServiceId, excluded: Collection[WorkerId], now_s: float
     ) -> bool:
         """Refill the permit pool from the own ledgers, or start to borrow.
 
@@ -239,7 +223,7 @@
         return False
 
     def borrow_ahead(self, service: ServiceId, now_s: float) -> None:
-        """Borrow ahead of demand while few free permits are left."""
+        """Borrow before requests need it, if too few permits are free."""
         if self.permit_pool.free_count >= _MIN_FREE_PERMITS_COUNT:
             return
         self.borrower.borrow_locally(service, (), now_s)
@@ -255,38 +239,31 @@
     def handlers(self) -> dict[type, Handler]:
         """Return the handlers of the capacity messages for the peer server."""
         return CapacityHandlers(
-            self.allocator,
-            self.borrower,
-            now=self._now,
+            self.allocator, self.borrower, now=self._now
         ).handlers()
 
     def _take_permit(
-        self,
-        service: ServiceId,
-        excluded: Collection[WorkerId],
-        now_s: float,
+        self, service: ServiceId, excluded: Collection[WorkerId], now_s: float
     ) -> Permit | None:
         return self.permit_pool.take_random(
-            service,
-            now_s,
-            rng=self._rng,
-            excluded=excluded,
+            service, now_s, rng=self._rng, excluded=excluded
         )
 
     def _start_refill(self, service: ServiceId) -> trio.Event | None:
-        """Borrow in the background; one refill at a time for each service."""
+        """Start a refill if the service has none; return its end event."""
         if self._nursery is None:
             return None
         refill_done = self._refills.get(service)
         if refill_done is None:
             refill_done = trio.Event()
             self._refills[service] = refill_done
-            self._nursery.start_soon(self._refill_once, service, refill_done)
+            self._nursery.start_soon(self._borrow_once, service, refill_done)
         return refill_done
 
-    async def _refill_once(
+    async def _borrow_once(
         self, service: ServiceId, refill_done: trio.Event
     ) -> None:
+        """Borrow once; the service gets no other refill during the backoff."""
         self.borrower.borrow_locally(service, (), self._now())
         has_borrowed = await self.borrower.borrow(service)
         refill_done.set()
@@ -304,7 +281,7 @@
         while True:
             due_at = trio.current_time() + self._settings.heartbeat_ms / 1000
             await self.borrower.return_idle(
-                idle_after_s=self._settings.grant_ttl_ms / 1000,
+                idle_after_s=self._settings.grant_ttl_ms / 1000
             )
             await self.borrower.renew()
             await trio.sleep_until(due_at)
@@ -322,7 +299,7 @@
         while True:
             due_at = trio.current_time() + self._settings.heartbeat_ms / 1000
             await self._broadcast(
-                summary_message(self._identity, self.allocator),
+                summary_message(self._identity, self.allocator)
             )
             await trio.sleep_until(due_at)
 
@@ -332,10 +309,7 @@
         for entry_id, grant_ids in ledger.grants_by_borrower().items():
             peer = peers.get(entry_id)
             if peer is not None and self._nursery is not None:
-                revoke = ttypes.Revoke(
-                    grant_ids=grant_ids,
-                    worker_leaving=True,
-                )
+                revoke = ttypes.Revoke(grant_ids=grant_ids, worker_leaving=True)
                 self._nursery.start_soon(call_peer, peer, revoke)
 
     async def _broadcast(self, message: Message) -> None:
--- a/src/marjoramwharf/programs/_task_placement.py
+++ b/src/marjoramwharf/programs/_task_placement.py
@@ -90,7 +90,7 @@
                 return ledger
             else:
                 self.update_index(ledger)
-                self._index.cordon(found, now_s + _CORDON_S)
+                self._index.exclude(found, now_s + _CORDON_S)
         return None
 
     def update_index(self, ledger: WorkerLedger) -> None:
