--- a/src/marjoramwharf/_field_lines.py
+++ b/src/marjoramwharf/_field_lines.py
@@ -29,7 +29,7 @@
     """
     lines = {'$': 1}
     scanner = _Scanner(_tokenize(text), lines)
-    # The parser has already rejected a text that is nested this deeply.
+    # The parser rejects a text nested this deeply; missing lines don't matter.
     with suppress(RecursionError):
         scanner.read_value('$')
     return lines
@@ -54,7 +54,7 @@
 
 
 class _Scanner:
-    """Reads values recursively and records the line where each one starts."""
+    """Records the line of each field name and array item, recursively."""
 
     def __init__(
         self,
--- a/src/marjoramwharf/errors.py
+++ b/src/marjoramwharf/errors.py
@@ -163,7 +163,7 @@
 
 
 class PeerRefused(Failure):
-    """A peer refused the request."""
+    """A peer answered a request with a refusal."""
 
     reason = Reason.PEER_REFUSED
 
--- a/src/marjoramwharf/http_errors.py
+++ b/src/marjoramwharf/http_errors.py
@@ -29,6 +29,7 @@
     Reason.BAD_SETTINGS: 400,
 }
 _UNAVAILABLE = 503
+# For an unknown outcome: the call may still run; the caller asks later.
 UNKNOWN_STATUS = 202
 
 
--- a/src/marjoramwharf/links/_etcd_watch.py
+++ b/src/marjoramwharf/links/_etcd_watch.py
@@ -24,7 +24,7 @@
 
 # A watch without any message for this long is reopened, since a half-open
 # connection looks like a prefix without changes. One read per watch in 30 s
-# makes 6 reads/s for the 180 watches of the two-year target.
+# makes 6 reads/s for 180 watches, the target in two years.
 WATCH_SILENCE_S = 30
 
 _INITIAL_BACKOFF_S = 0.1
@@ -36,8 +36,8 @@
 class EtcdWatch:
     """Streams the changes below a prefix after a revision.
 
-    The reader calls ``connection`` and ``wait`` in turn, once for each
-    connection; the watch remembers the revision between them.
+    The reader iterates over ``connection``, then calls ``wait`` to back off,
+    and repeats both; the watch remembers the revision between them.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
     ) -> AsyncGenerator[WatchBatch, None]:
         await check_status(response)
         async for line in response.aiter_lines():
-            for batch in await self._decode_line(line):
+            for batch in await self._handle_line(line):
                 yield batch
 
     def _open(self) -> AbstractAsyncContextManager[httpx.Response]:
@@ -103,7 +103,7 @@
     def _log_disconnect(self, cause: str) -> None:
         _log.info('watch disconnected', prefix=self._prefix, cause=cause)
 
-    async def _decode_line(self, line: str) -> list[WatchBatch]:
+    async def _handle_line(self, line: str) -> list[WatchBatch]:
         if not line.strip():
             return []
         message = decode_json(line, wire.WatchMessage).result
--- a/src/marjoramwharf/links/http_client.py
+++ b/src/marjoramwharf/links/http_client.py
@@ -75,7 +75,7 @@
 class _Progress:
     """Tracks whether any part of a request may have been sent."""
 
-    is_sent: bool = False
+    may_be_sent: bool = False
 
 
 @dataclass(slots=True)
@@ -124,7 +124,7 @@
                 return await self._attempt(address, head, body, progress)
             except _StaleConnection:
                 return await self._attempt(address, head, body, progress)
-        if not progress.is_sent:
+        if not progress.may_be_sent:
             raise NotConnected(f'no connection within {timeout_s} s')
         raise CallFailed(f'no response within {timeout_s} s')
 
@@ -135,8 +135,8 @@
         body: bytes,
         progress: _Progress,
     ) -> ClientResponse:
-        connection = await self._acquire(address, fresh=progress.is_sent)
-        progress.is_sent = True
+        connection = await self._acquire(address, fresh=progress.may_be_sent)
+        progress.may_be_sent = True
         try:
             response = await _exchange(connection, head, body)
         except (OSError, trio.BrokenResourceError, h11.ProtocolError) as error:
--- a/src/marjoramwharf/links/relayed_store.py
+++ b/src/marjoramwharf/links/relayed_store.py
@@ -75,7 +75,7 @@
 
     ``reachability`` tells whether the store answers this entry, and
     ``relay_reachability`` whether it answers the peers that relay calls.
-    Several stores may share them.
+    Several stores may share these two objects.
     """
 
     direct: PollingStore
--- a/src/marjoramwharf/links/store.py
+++ b/src/marjoramwharf/links/store.py
@@ -18,7 +18,7 @@
 
 @enum.unique
 class Urgency(enum.IntEnum):
-    """Importance of a store call; the budget sheds the lowest first."""
+    """Class of a store call; ``store_budget`` sheds the lowest first."""
 
     STATUS = 0
     SNAPSHOT = 1
@@ -84,11 +84,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchBatch:
-    """The changes of one revision, in order.
+    """Changes below a prefix, in order, up to and including ``revision``.
 
-    ``restarted`` is true if revisions may have been skipped, after a
-    compaction or a long disconnection. The events are then all keys below
-    the prefix and replace the reader's state.
+    A poll may return several revisions in one batch. If ``restarted`` is true,
+    the events are a full read of the prefix and replace the reader's state:
+    the first read, or one after revisions may have been skipped.
     """
 
     revision: int
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixSnapshot:
-    """All keys below a prefix at one revision."""
+    """Keys below a prefix; a watch from ``revision`` misses no later change."""
 
     revision: int
     found: tuple[StoredValue, ...]
--- a/src/marjoramwharf/links/store_reachability.py
+++ b/src/marjoramwharf/links/store_reachability.py
@@ -15,8 +15,8 @@
 # A single failure may be due to its connection rather than to the store.
 _FAILURES_UNTIL_UNREACHABLE = 2
 
-# Failures sooner after an answer than this are taken for a burst of lost
-# answers, not for an unreachable store.
+# Failures within this time after the latest answer may be a burst of lost
+# answers; they don't count as an unreachable store.
 _SILENCE_UNTIL_UNREACHABLE_S = 0.3
 
 
--- a/src/marjoramwharf/links/store_relay.py
+++ b/src/marjoramwharf/links/store_relay.py
@@ -187,6 +187,7 @@
     timeout_s = _CALL_TIMEOUT_S
     if isinstance(call, PollCall):
         timeout_s += call.wait_ms / _MS_PER_S
+    # Store calls reuse JobCall; `method` tells them apart, `shard` is unused.
     message = ttypes.JobCall(
         method=STORE_METHOD,
         shard=0,
--- a/src/marjoramwharf/platform/job_api.py
+++ b/src/marjoramwharf/platform/job_api.py
@@ -19,6 +19,7 @@
 from marjoramwharf.scheduling.policy import Configuration, QueuePolicy
 
 _LOG = part_logger('front')
+# Not a time: the ms after the request's arrival that the caller waits.
 _DEADLINE_HEADER = 'x-marjoramwharf-deadline-ms'
 _JOB_ID = re.compile('[0-9a-f]{16}')
 _MS_PER_S = 1_000
@@ -32,6 +33,7 @@
 _NO_JOB = HttpResponse(410, b'{"Error":"no such job"}')
 _BAD_METHOD = HttpResponse(405, b'{"Error":"method not allowed"}')
 _OUTCOME_UNKNOWN = HttpResponse(504, b'{"Error":"outcome unknown"}')
+# Also the answer to a cancellation that failed.
 _STATE_UNAVAILABLE = HttpResponse(503, b'{"Error":"state can not be read"}')
 _NOT_READY = HttpResponse(
     503,
@@ -159,11 +161,11 @@
 
 
 def _deadline_s(request: HttpRequest, queue: QueuePolicy) -> float:
-    """Return the time at which the answer has to be sent."""
+    """Return the latest trio time at which the answer may be sent."""
     allowed_ms = float(queue.timeout_ms)
-    header_ms = request.headers.get(_DEADLINE_HEADER, '')
-    if header_ms.isdecimal():
-        allowed_ms = min(allowed_ms, float(header_ms))
+    caller_allows_ms = request.headers.get(_DEADLINE_HEADER, '')
+    if caller_allows_ms.isdecimal():
+        allowed_ms = min(allowed_ms, float(caller_allows_ms))
     return request.arrived_s + max(0, allowed_ms / _MS_PER_S - _ANSWER_MARGIN_S)
 
 
--- a/src/marjoramwharf/platform/job_bodies.py
+++ b/src/marjoramwharf/platform/job_bodies.py
@@ -32,6 +32,8 @@
 
     Tasks of a step with ``Fills`` use the resources that others leave unused;
     ``TargetMs`` is the tail latency that a lasting task has to keep.
+    ``AntiAffinity`` limits the tasks on a worker, and ``MayMiss`` the number of
+    tasks that may be unavailable.
     """
 
     count: Annotated[int, Meta(ge=1, le=_MAX_TASKS)]
--- a/src/marjoramwharf/platform/kv_store.py
+++ b/src/marjoramwharf/platform/kv_store.py
@@ -186,12 +186,13 @@
     async def keep_alive(self, lease: LeaseId) -> bool:
         """Extend a lease and return whether it still exists."""
         answer = await self._post(f'/kv-keep/{lease}', None)
-        return _lease_exists(answer)
+        return _check_lease_answer(answer)
 
     async def revoke_lease(self, lease: LeaseId) -> None:
         """End a lease and delete the keys attached to it."""
         answer = await self._write('DELETE', f'/kv-lease-end/{lease}', b'')
-        _lease_exists(answer)
+        # A lease that has already ended counts as revoked.
+        _check_lease_answer(answer)
 
     async def poll(
         self,
@@ -266,7 +267,8 @@
         raise StoreUnavailable(message=f'the store answered {answer.status}')
 
 
-def _lease_exists(answer: ClientResponse) -> bool:
+def _check_lease_answer(answer: ClientResponse) -> bool:
+    """Return whether the lease existed; raises ``StoreRefused``."""
     if answer.status == _NOT_FOUND:
         return False
     _decode_answer(answer, Raw)
--- a/src/marjoramwharf/platform/operator_config.py
+++ b/src/marjoramwharf/platform/operator_config.py
@@ -66,7 +66,7 @@
 
 
 def decode_configuration(raw: bytes) -> Configuration:
-    """Decode a stored configuration; raises ``BadNote``."""
+    """Decode a stored configuration; raises ``BadNote``, as for notes."""
     try:
         config = decode_json(raw, _Config)
     except DecodeError as failure:
--- a/src/marjoramwharf/platform/settings_file.py
+++ b/src/marjoramwharf/platform/settings_file.py
@@ -75,6 +75,7 @@
         store_address=read('platform.Address', _parse_nonempty),
         advice_address=read('Advice', str, ''),
         machines_address=read('CloudApi.Address', str, ''),
+        # The product of a share and a number of cores is in cores.
         cpu_share=read('Limits.CpuShare', float, 1.0)
         * read('Limits.Cores', float, 1.0),
         memory_mb=read('Limits.MemoryMb', _parse_rounded, 300),
--- a/src/marjoramwharf/platform/worker_client.py
+++ b/src/marjoramwharf/platform/worker_client.py
@@ -31,6 +31,7 @@
 from marjoramwharf.scheduling.job_state import RunEnd
 
 _LOG = part_logger('worker')
+# Holds the worker id, which the platform calls instance.
 _INCARNATION_HEADER = 'X-Marjoramwharf-Target-Instance'
 _CONFLICT = 409
 
@@ -45,6 +46,8 @@
 
 @enum.unique
 class _RefusalReason(enum.Enum):
+    """Codes of workers; ``ROOM`` means that there is no room."""
+
     FENCE = 'fence'
     OLD = 'old'
     LATE = 'late'
@@ -126,6 +129,8 @@
 
 
 class _HoldReply(Struct, frozen=True):
+    """``born`` is the Unix time of the worker's start in ms."""
+
     clock_ms: int = field(name='ClockMs')
     running: tuple[_RunRow, ...] = field(default=(), name='Running')
     ended: tuple[_EndRow, ...] = field(default=(), name='Ended')
--- a/src/marjoramwharf/settings.py
+++ b/src/marjoramwharf/settings.py
@@ -143,17 +143,17 @@
 
     @property
     def identity(self) -> EntryId:
-        """The id of this entry."""
+        """``entry_id`` as its distinct type."""
         return EntryId(self.entry_id)
 
     @property
     def home(self) -> DataCentreId:
-        """The data centre of this entry."""
+        """``data_centre`` as its distinct type."""
         return DataCentreId(self.data_centre)
 
     @property
     def home_region(self) -> RegionId:
-        """The region of this entry."""
+        """``region`` as its distinct type."""
         return RegionId(self.region)
 
 
--- a/standins/kv_state.py
+++ b/standins/kv_state.py
@@ -120,7 +120,7 @@
                 self.revoke_lease(lease)
 
     def expire_all_leases(self) -> None:
-        """End every lease at once, as a store that lost its clock does."""
+        """End every lease at once, as a store whose clock jumped may."""
         for lease in tuple(self._leases):
             self.revoke_lease(lease)
 
--- a/standins/platform_endpoints.py
+++ b/standins/platform_endpoints.py
@@ -104,20 +104,21 @@
 
     def _answer_write(self, call: str, body: dict[str, Any]) -> HttpResponse:
         now_s = trio.current_time()
-        verb, _, argument = call.rpartition('/')
+        # Two calls end in the id of a lease.
+        method_and_path, _, lease_text = call.rpartition('/')
         if call == 'POST /kv-txn':
             return self._transact(body)
         if call == 'POST /kv-lease':
             ttl_s = body['TtlMs'] / _MS_PER_S
             lease = self.state.grant_lease(ttl_s, now_s)
             return json_reply({'Lease': lease, 'TtlMs': body['TtlMs']})
-        if verb == 'POST /kv-keep':
-            ttl_left_s = self.state.keep_alive(LeaseId(int(argument)), now_s)
+        if method_and_path == 'POST /kv-keep':
+            ttl_left_s = self.state.keep_alive(LeaseId(int(lease_text)), now_s)
             return json_reply(
                 {'TtlMs': ttl_left_s * _MS_PER_S}, 200 if ttl_left_s else 404
             )
-        if verb == 'DELETE /kv-lease-end':
-            self.state.revoke_lease(LeaseId(int(argument)))
+        if method_and_path == 'DELETE /kv-lease-end':
+            self.state.revoke_lease(LeaseId(int(lease_text)))
             return json_reply({})
         return json_reply({}, 404)
 
--- a/standins/platform_process.py
+++ b/standins/platform_process.py
@@ -104,8 +104,8 @@
             listener = await open_listener(HOST, port + number)
             nursery.start_soon(HttpServer(endpoint.handle).serve, listener)
             rack = 'r1' if number % 2 else 'r2'
-            entry = worker_listing(port + number, rack)
-            store.state.apply([Write(f'servers/w{number}', entry)])
+            listing = worker_listing(port + number, rack)
+            store.state.apply([Write(f'servers/w{number}', listing)])
         listener = await open_listener(HOST, port)
         nursery.start_soon(HttpServer(store.handle).serve, listener)
         print(f'platform: listening on {HOST}:{port}', flush=True)
--- a/standins/simulated_worker.py
+++ b/standins/simulated_worker.py
@@ -47,10 +47,10 @@
 class SimulatedWorker:
     """One incarnation of a worker.
 
-    ``capacity`` is the number of concurrent runs. Three lists are for the checks
-    of tests: ``starts`` has every start that was carried out, ``start_times``
-    their times, and ``acknowledged_completions`` the tasks whose end as done the
-    owner has acknowledged, with the time of that end.
+    ``capacity`` is the number of concurrent runs. Three lists are for tests to
+    check: ``starts`` has every start that was carried out, ``start_times``
+    their times, and ``acknowledged_completions`` the tasks that ended as done
+    and whose end the owner acknowledged, each with the time of its end.
     """
 
     born_s: float
--- a/standins/simulated_worker_client.py
+++ b/standins/simulated_worker_client.py
@@ -117,7 +117,10 @@
         *,
         timeout_s: float,
     ) -> HoldReport:
-        """Extend a worker's lease and wait for an end, as real workers do."""
+        """Extend the leases of a worker's runs and return its report.
+
+        Returns once a run has ended, or after ``wait_ms``.
+        """
         deadline_s = trio.current_time() + order.wait_ms / _MS_PER_S
         while True:
             send_hold = partial(self._hold, worker.worker_id, order)
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -254,10 +254,10 @@
         running.ended.set()
 
     async def _build_answer(self, call_id: CallId) -> Response:
-        """Return the answer to a call, as the faults have it.
+        """Return the answer to a call, altered by the faults.
 
-        It may be the answer to the previous call or a truncated one. A cancelled
-        call has none, and its connection is aborted.
+        It may be the answer to the previous call or a truncated one. A
+        cancelled call has none, and its connection is aborted.
         """
         answer = self.state.answers.get(call_id)
         if answer is None:
--- a/standins/worker_state.py
+++ b/standins/worker_state.py
@@ -60,7 +60,12 @@
 
 
 class Faults(Struct, frozen=True, forbid_unknown_fields=True):
-    """Injected faults; ``POST /faults`` replaces all of them."""
+    """Injected faults; ``POST /faults`` replaces all of them.
+
+    ``black_hole``: calls fail at once, so that the worker looks idle.
+    ``cross_answers_share`` of the calls get the previous call's answer, and
+    ``cut_answers_share`` a truncated one.
+    """
 
     black_hole: bool = False
     hang: bool = False
@@ -72,7 +77,7 @@
 
 @dataclass(slots=True)
 class CallRecord:
-    """History of one accepted call."""
+    """One call, kept in ``History.calls`` if it is admitted."""
 
     call_id: CallId
     grant_id: GrantId
@@ -192,7 +197,11 @@
         self._latencies.append((now_s, record.service, latency_ms))
 
     def settle(self, call_id: CallId) -> SettleReply:
-        """Return the state of a call; an unknown id is refused from now on."""
+        """Return the state of a call.
+
+        An unknown id is refused from now on, so that a call still in flight
+        can't run after this answer.
+        """
         record = self._calls_by_id.get(call_id)
         if record is None:
             self._refused_call_ids.add(call_id)
