--- a/src/marjoramwharf/links/store.py
+++ b/src/marjoramwharf/links/store.py
@@ -18,7 +18,12 @@
 
 @enum.unique
 class Urgency(enum.IntEnum):
-    """Class of a store call; ``store_budget`` sheds the lowest first."""
+    """Class of a store call; ``store_budget`` sheds the lowest first.
+
+    It never sheds ``OWNERSHIP``. ``STATUS`` calls read the history of notes,
+    ``SNAPSHOT`` calls compact the journal of a job shard, ``CLAIM`` calls
+    handle idempotency keys, and ``JOB`` calls jobs and release notes.
+    """
 
     STATUS = 0
     SNAPSHOT = 1
