--- a/src/marjoramwharf/platform/advice_client.py
+++ b/src/marjoramwharf/platform/advice_client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's advice service; implements ``cells.AdviceClient``."""
+"""Client of the platform's advice service, a ``cells.AdviceClient``."""
 
 from __future__ import annotations
 
