--- a/src/marjoramwharf/links/http_server.py
+++ b/src/marjoramwharf/links/http_server.py
@@ -53,10 +53,7 @@
 
 @dataclass(slots=True)
 class HttpLimits:
-    """Size limits and timeouts of a connection.
-
-    ``header_timeout_s`` limits the body; the head has the idle timeout.
-    """
+    """Limits of a connection; ``header_timeout_s`` is for reading a body."""
 
     header_bytes: int = 16_384
     body_bytes: int = 262_144
--- a/src/marjoramwharf/log_output.py
+++ b/src/marjoramwharf/log_output.py
@@ -73,14 +73,12 @@
         if not bucket.take(time.monotonic()):
             self._count_dropped()
             return
-        if self._unreported_count and self._write(
-            self._format_dropped_notice()
-        ):
+        if self._unreported_count and self._write(self._format_notice()):
             self._unreported_count = 0
         if not self._write(line):
             self._count_dropped()
 
-    def _format_dropped_notice(self) -> str:
+    def _format_notice(self) -> str:
         return json.dumps(
             {
                 'event': 'logs: lines left out',
--- a/standins/simulated_worker_client.py
+++ b/standins/simulated_worker_client.py
@@ -118,10 +118,7 @@
         *,
         timeout_s: float,
     ) -> HoldReport:
-        """Extend the leases of a worker's runs and return its report.
-
-        Returns once a run has ended, or after ``wait_ms``.
-        """
+        """Extend leases; return a report at a run's end or after ``wait_ms``."""
         deadline_s = trio.current_time() + order.wait_ms / _MS_PER_S
         while True:
             send_hold = partial(self._hold, worker.worker_id, order)
