--- a/standins/simulated_worker_client.py
+++ b/standins/simulated_worker_client.py
@@ -34,10 +34,9 @@
 
     Calls to ``unreachable`` workers get no answer. The next
     ``start_answers_to_lose`` starts and ``hold_answers_to_lose`` holds are
-    carried out without an answer; the next ``starts_to_repeat`` starts are carried
-    out
-    twice, as by a client that sends a call again. The next ``starts_to_delay``
-    starts wait in ``delayed_orders`` until a test calls them.
+    carried out without an answer; the next ``starts_to_repeat`` starts are
+    carried out twice, as by a client that sends a call again. The next
+    ``starts_to_delay`` starts wait in ``delayed_orders`` until a test calls them.
     """
 
     workers: dict[WorkerId, SimulatedWorker]
