--- a/standins/simulated_worker_client.py
+++ b/standins/simulated_worker_client.py
@@ -36,7 +36,7 @@
     ``start_answers_to_lose`` starts and ``hold_answers_to_lose`` holds are
     carried out without an answer; the next ``starts_to_repeat`` starts are
     carried out twice, as by a client that sends a call again. The next
-    ``starts_to_delay`` starts wait in ``delayed_orders`` until a test calls them.
+    ``starts_to_delay`` starts wait in ``delayed_orders`` for a test's call.
     """
 
     workers: dict[WorkerId, SimulatedWorker]
@@ -117,7 +117,7 @@
         *,
         timeout_s: float,
     ) -> HoldReport:
-        """Extend leases; return a report at a run's end or after ``wait_ms``."""
+        """Extend leases; report at a run's end or after ``wait_ms``."""
         deadline_s = trio.current_time() + order.wait_ms / _MS_PER_S
         while True:
             send_hold = partial(self._hold, worker.worker_id, order)
