--- a/src/marjoramwharf/batch/journal.py
+++ b/src/marjoramwharf/batch/journal.py
@@ -390,7 +390,7 @@
         else:
             parts = snapshots.setdefault(parent.rpartition('/')[2], {})
             parts[last] = stored.body
-    through, snapshot = _latest_complete(snapshots)
+    through, snapshot = _newest_complete_snapshot(snapshots)
     last_seq = max(entries, default=through)
     events: list[Event] = []
     for seq in range(through + 1, last_seq + 1):
@@ -401,10 +401,11 @@
     return replay(snapshot, events), max(through, last_seq)
 
 
-def _latest_complete(
+def _newest_complete_snapshot(
     snapshots: dict[str, dict[str, bytes]],
 ) -> tuple[int, bytes | None]:
-    """Return the last entry in the newest complete snapshot, and its body."""
+    """Return the newest complete snapshot's last entry number, and its body."""
+    # Part names are <index>-<count>, snapshot names <last entry>-<nonce>.
     for name in sorted(snapshots, reverse=True):
         parts = snapshots[name]
         count = int(min(parts).rpartition('-')[2])
--- a/src/marjoramwharf/batch/placement.py
+++ b/src/marjoramwharf/batch/placement.py
@@ -41,7 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """A task to place; tasks with the same ``job`` are spread over racks."""
+    """A task to place; tasks with the same ``job`` are spread over racks.
+
+    No worker in ``avoid_racks`` or ``avoid_workers`` is ever chosen.
+    ``task_class`` selects the interference penalty.
+    """
 
     task_id: TaskId
     job: str
--- a/src/marjoramwharf/cells/cell.py
+++ b/src/marjoramwharf/cells/cell.py
@@ -364,7 +364,7 @@
             )
 
     def _end_runs_of_unreached_workers(self) -> None:
-        """End runs of a former owner at workers that were never polled.
+        """End runs of a former owner at workers that never answered a poll.
 
         Their leases have lapsed by then, so the runs can't be at work.
         """
@@ -373,6 +373,6 @@
         if boot_s() < self.acquired_s + max_lease_s + FORMER_OWNER_SLACK_S:
             return
         for run in tuple(self.job_table.live_runs()):
-            is_unpolled = self.worker_registry.was_never_polled(run.worker_id)
-            if is_unpolled and run.phase is not RunPhase.PLANNED:
+            is_unreached = self.worker_registry.was_never_polled(run.worker_id)
+            if is_unreached and run.phase is not RunPhase.PLANNED:
                 self.end_run(run, RunEnd.VANISHED, '')
--- a/src/marjoramwharf/cells/worker_registry.py
+++ b/src/marjoramwharf/cells/worker_registry.py
@@ -135,7 +135,7 @@
         link.is_urgent = controller.needs_early_poll()
 
     def was_never_polled(self, worker_id: WorkerId) -> bool:
-        """Whether this owner has never had an answer from a worker."""
+        """Whether a worker has never answered a poll by this owner."""
         link = self.links.get(worker_id)
         return link is None or link.clock.reading_ms is None
 
--- a/src/marjoramwharf/contracts/note_registry.py
+++ b/src/marjoramwharf/contracts/note_registry.py
@@ -105,9 +105,9 @@
             self._hint_received.set()
 
     def observe(self, configuration: Configuration, *, now_ms: int) -> bool:
-        """Put a configuration in force unless it is older or the same.
+        """Put a configuration in force unless a newer revision is known.
 
-        Returns whether it was put in force.
+        Returns false in that case, or if it is in force already.
         """
         if configuration.revision < self._known_revision():
             return False
--- a/src/marjoramwharf/contracts/ownership.py
+++ b/src/marjoramwharf/contracts/ownership.py
@@ -119,9 +119,9 @@
     async def refresh(self, *, may_take_over: bool = True) -> bool:
         """Reread all records, then take the free shards this entry should own.
 
-        Call it at start, after an outage and at long intervals. During an
-        outage the owned shards are kept; the records are reread before
-        anything is written after it. Without ``may_take_over``, shards of
+        Call it at start, after an outage and at long intervals. The owned
+        shards are kept during an outage, and nothing is written after it until
+        the records have been reread. Without ``may_take_over``, shards of
         missing owners are not taken. Returns false if the store is down.
         """
         try:
@@ -150,7 +150,7 @@
 
         Returns false if another entry was first or the store is down.
         """
-        if self._must_reread or not self._is_free(shard):
+        if self._must_reread or not self._may_take(shard):
             return False
         cached = self._records.get(shard)
         former_epoch = 0 if cached is None else cached[0].epoch
@@ -188,8 +188,9 @@
     async def advance_epoch(self, shard: ShardId) -> bool:
         """Move an owned shard to the next epoch.
 
-        Grants of the former epoch end at the next fence. It is needed for a
-        worker that was disowned and came back while the shard kept its owner.
+        Call it when a worker was dropped and came back while this entry kept
+        the shard. Once the worker is told the new epoch, it refuses grants of
+        the former one.
         """
         epoch = self.owned.get(shard)
         if epoch is None or self._must_reread:
@@ -276,8 +277,8 @@
         """Read back a record whose write had no answer; return if it is ours.
 
         If the store can't be read either, the shard counts as not taken. The
-        record may then name this process without its knowledge; the next
-        refresh takes the shard again under a higher epoch.
+        write may still have succeeded; then the next refresh takes the shard
+        again under a higher epoch.
         """
         try:
             stored = await self._store.read(
@@ -293,7 +294,7 @@
         return self._records[shard][0].nonce == record.nonce
 
     def _should_take(self, shard: ShardId) -> bool:
-        if shard in self.owned or not self._is_free(shard):
+        if shard in self.owned or not self._may_take(shard):
             return False
         cached = self._records.get(shard)
         if cached is not None and self._names_this_process(cached[0]):
@@ -302,7 +303,7 @@
             return True
         return preferred_entry(shard, self._candidates()) == self._entry_id
 
-    def _is_free(self, shard: ShardId) -> bool:
+    def _may_take(self, shard: ShardId) -> bool:
         cached = self._records.get(shard)
         if cached is None:
             return True
--- a/src/marjoramwharf/scheduling/headroom.py
+++ b/src/marjoramwharf/scheduling/headroom.py
@@ -116,10 +116,11 @@
 ) -> float:
     """Return the harm of starting a filling task on a worker.
 
-    A job is lost once a quarter of its tasks are over their target, so there
-    is least harm where jobs are lost already. That only holds until the
-    present filling tasks end, so it counts for a part of the time.
-    ``job_millicores`` is the mean size of a serving job.
+    A job is lost once a quarter of its tasks are over their target, so a
+    further loss costs least in a job that is lost already. The task runs beside
+    the present filling tasks for a part of its time, so the result is a mean of
+    the harm beside them and without them, in jobs of the mean size
+    ``job_millicores``.
     """
     share = request.cpu_millicores / max(1, worker.capacity.cpu_millicores)
     load = FillingLoad(request.image, share)
@@ -135,7 +136,7 @@
                 sum(expected.step.over_target_counts.values()),
                 job_millicores,
             )
-            harm_alone = _lost_jobs(
+            harm_without_others = _lost_jobs(
                 expected.step,
                 _added_over_target_count(expected, loss, expected.baseline, 0),
                 0,
@@ -143,7 +144,7 @@
             )
             harm += (
                 _PRESENT_LOADS_SHARE * harm_beside
-                + (1 - _PRESENT_LOADS_SHARE) * harm_alone
+                + (1 - _PRESENT_LOADS_SHARE) * harm_without_others
             )
     return harm
 
--- a/src/marjoramwharf/scheduling/readings.py
+++ b/src/marjoramwharf/scheduling/readings.py
@@ -96,9 +96,10 @@
         loads: list[FillingLoad],
         now_s: float,
     ) -> None:
-        """Learn from a headroom beside loads.
+        """Learn from a headroom that was measured while filling tasks ran.
 
-        If it is saturated, the loss is only known to be at least this large.
+        If it is saturated, i.e. too low to show the whole effect, the loss
+        computed from it is a lower bound.
         """
         at_s = now_s - _WINDOW_S / 2
         image = step.request.image
--- a/src/marjoramwharf/scheduling/unplaceable_steps.py
+++ b/src/marjoramwharf/scheduling/unplaceable_steps.py
@@ -1,8 +1,8 @@
 """Steps that could not be placed in one pass of the planner.
 
-Free capacity only shrinks within a pass, so a step that needs no less than one
-that found no worker need not be compared with every worker. This counts in
-bursts on large fleets, in which hundreds of steps wait.
+Free capacity only shrinks within a pass. If no worker could take one step, none
+can take a step that needs at least as much, so that step is skipped. This saves
+much time during bursts on large fleets, when hundreds of steps wait.
 """
 
 from __future__ import annotations
@@ -14,6 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _UnplaceableStep:
+    """A step that no worker could take.
+
+    A filling task of it was to do at most ``allowed_harm``, in the unit of
+    ``headroom.expected_harm``.
+    """
+
     service: str
     step: StepRequest
     allowed_harm: float
--- a/src/marjoramwharf/service/_claimed.py
+++ b/src/marjoramwharf/service/_claimed.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _ClaimTarget:
+class _ClaimedCall:
     """The call that a claim shall name, its worker and the incarnation."""
 
     worker_id: WorkerId
@@ -56,10 +56,9 @@
     """Serves requests with an idempotency key.
 
     A claim, stored under the key, names the only call that may run a request.
-    ``open_claim`` in the methods below is a claim whose call provably never
-    ran. The request may run only after a take-over of this claim, and
-    ``NotRun`` may be answered only after its withdrawal, since another entry
-    may use the same claim.
+    An ``unused_claim`` names a call that provably never ran. Another entry may
+    use the same claim, so the request runs only after a take-over of the claim,
+    and ``NotRun`` is answered only after its withdrawal.
     """
 
     def __init__(self, deps: DispatchDependencies, runner: CallRunner) -> None:
@@ -69,28 +68,28 @@
 
     async def serve(self, request: ServiceRequest, key: str) -> Outcome:
         """Run a request once, or return the outcome of its earlier run."""
-        open_claim: Claim | None = None
+        unused_claim: Claim | None = None
         excluded: frozenset[WorkerId] = frozenset()
         for attempts_count in range(1, MAX_ATTEMPTS_COUNT + 1):
             permit = await self._runner.acquire(request, excluded)
             if isinstance(permit, NotRun):
                 return await self._answer_refused(
-                    request, key, open_claim, permit
+                    request, key, unused_claim, permit
                 )
             outcome = await self._claim_and_run(
                 request,
                 key,
                 permit,
-                open_claim,
+                unused_claim,
             )
             if isinstance(outcome, NeverRan):
-                open_claim = outcome.claim
+                unused_claim = outcome.claim
             elif outcome is not None:
                 return outcome
             excluded = frozenset((permit.worker_id,))
             await trio.sleep(backoff_s(attempts_count, self._deps.rng))
         return await self._answer_refused(
-            request, key, open_claim, _REFUSED_BY_WORKERS
+            request, key, unused_claim, _REFUSED_BY_WORKERS
         )
 
     async def _claim_and_run(
@@ -98,7 +97,7 @@
         request: ServiceRequest,
         key: str,
         permit: Permit,
-        open_claim: Claim | None,
+        unused_claim: Claim | None,
     ) -> Outcome | NeverRan | None:
         """Run a call under a claim; ``None`` if its worker is unreachable."""
         # The claim names the incarnation, so it is fetched before the claim.
@@ -106,11 +105,11 @@
         incarnation = await self._runner.incarnation_of(permit, timeout_s)
         if incarnation is None:
             return None
-        target = _ClaimTarget(
+        target = _ClaimedCall(
             permit.worker_id, CallId(random_id()), incarnation
         )
         try:
-            claimed = await self._claim(request, key, target, open_claim)
+            claimed = await self._claim(request, key, target, unused_claim)
         except BaseException:
             self._runner.release_unused(permit)
             raise
@@ -121,22 +120,22 @@
             return await self._resolve(request, key, claimed.claim)
         if isinstance(claimed, ClaimWithdrawn):
             return NotRun(Reason.WORKER_REFUSED, 'the claim was withdrawn', 1)
-        if open_claim is None:
+        if unused_claim is None:
             return _answer_without_claim(request, key, claimed)
-        return await self._withdraw_open_claim(key, open_claim, claimed)
+        return await self._withdraw_unused(key, unused_claim, claimed)
 
     async def _claim(
         self,
         request: ServiceRequest,
         key: str,
-        target: _ClaimTarget,
-        open_claim: Claim | None,
+        target: _ClaimedCall,
+        unused_claim: Claim | None,
     ) -> ClaimOutcome | NotRun:
-        """Create the claim, or take over ``open_claim``, by the deadline."""
+        """Create the claim, or take over ``unused_claim``, by the deadline."""
         claims = self._deps.claims
         with trio.move_on_after(self._remaining_s(request)):
             try:
-                if open_claim is None:
+                if unused_claim is None:
                     return await claims.create(
                         request.team,
                         key,
@@ -146,7 +145,7 @@
                         incarnation=target.incarnation,
                     )
                 return await claims.take_over(
-                    open_claim,
+                    unused_claim,
                     worker_id=target.worker_id,
                     call_id=target.call_id,
                     incarnation=target.incarnation,
@@ -201,7 +200,7 @@
         self,
         request: ServiceRequest,
         key: str,
-        open_claim: Claim | None,
+        unused_claim: Claim | None,
         not_run: NotRun,
     ) -> Outcome:
         """Answer a request that got no permit or was refused by every worker.
@@ -209,8 +208,8 @@
         An earlier dispatch, possibly at another entry, may have run it, so its
         claim is read before ``not_run`` is answered.
         """
-        if open_claim is not None:
-            return await self._withdraw_open_claim(key, open_claim, not_run)
+        if unused_claim is not None:
+            return await self._withdraw_unused(key, unused_claim, not_run)
         found: Claim | NotRun | None = _CLAIM_NOT_READ
         with trio.move_on_after(_LOOK_UP_TIMEOUT_S):
             try:
@@ -226,20 +225,20 @@
             return not_run
         outcome = await self._resolve(request, key, found)
         if isinstance(outcome, NeverRan):
-            return await self._withdraw_open_claim(key, outcome.claim, not_run)
+            return await self._withdraw_unused(key, outcome.claim, not_run)
         return outcome
 
-    async def _withdraw_open_claim(
+    async def _withdraw_unused(
         self,
         key: str,
-        open_claim: Claim | None,
+        unused_claim: Claim | None,
         not_run: NotRun,
     ) -> Outcome:
-        """Answer ``not_run`` if no claim is open or it was withdrawn."""
-        if open_claim is None:
+        """Answer ``not_run`` if no unused claim exists or it was withdrawn."""
+        if unused_claim is None:
             return not_run
         return await withdraw_claim(
-            open_claim,
+            unused_claim,
             self._deps.claims,
             not_run,
             key,
--- a/src/marjoramwharf/service/_idempotent.py
+++ b/src/marjoramwharf/service/_idempotent.py
@@ -38,7 +38,10 @@
     outcomes: list[CallOutcome] = field(default_factory=list)
 
     def record_end(self, outcome: CallOutcome) -> None:
-        """Add an outcome; cancel the rest if it is successful or the last."""
+        """Add an outcome; end the race on success or when no call is left.
+
+        This cancels the other call, or the wait to start the hedged one.
+        """
         self.outcomes.append(outcome)
         self.running_count -= 1
         if is_successful(outcome) or not self.running_count:
--- a/src/marjoramwharf/service/admission.py
+++ b/src/marjoramwharf/service/admission.py
@@ -128,14 +128,15 @@
         self.serve()
 
     def serve(self) -> None:
-        """Hand free permits to queued requests until one gets none.
+        """Hand free permits to queued requests as long as there are any.
 
-        A retry that finds only excluded workers does not block the requests
-        behind it.
+        It ends at a request that excludes no worker and gets no permit. A retry
+        that finds only excluded workers does not block those behind it.
         """
         now_s = self._clock()
         blocked: list[QueuedRequest] = []
         while len(self._queue):
+            # With 0, only requests past their deadline are dropped.
             queued = self._queue.pop(now_s, service_time_s=0)
             if queued is None:
                 break
